--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -1,4 +1,5 @@
-/* The scheduler of one cell: a lease in the table, and the placement decided under it. */
+/* The scheduler of one cell. Whichever daemon holds the cell's lease in the table decides which
+ * runners load which models. */
 #ifndef RHUBARBTRAIL_DECISION_SCHEDULER_CELL_BASE_H
 #define RHUBARBTRAIL_DECISION_SCHEDULER_CELL_BASE_H
 
@@ -17,98 +18,105 @@
 
 namespace rhubarbtrail {
 
+/* The stages of a replica, in the order in which it passes through them. */
 enum class ReplicaPhase : std::uint8_t
 {
-  kLoadDecided, ///< Counted and reserved; the order waits for its intent to be written.
-  kLoading,     ///< The order was sent.
+  kLoadDecided, ///< Memory is reserved. The load order waits for the placement row to be written.
+  kLoading,     ///< The load order was sent.
   kLoaded,
-  kDraining,      ///< Routers are giving it up.
-  kUnloadDecided, ///< Drained; the order waits for its intent to be written.
-  kUnloading,     ///< The order was sent.
+  kDraining,      ///< Routers are asked to stop using it.
+  kUnloadDecided, ///< Drained. The unload order waits for the placement row to be written.
+  kUnloading,     ///< The unload order was sent.
 };
 
+/* A model on a runner, from the decision to load it until it is known to be gone. */
 struct Replica
 {
   ModelId model;
   std::string version;
-  MemoryMb memory; ///< Weights and all adapters of the model.
+  MemoryMb memory; ///< Reserved for the weights and all adapters of the model.
   ReplicaPhase phase = ReplicaPhase::kLoadDecided;
-  OrderId order; ///< The load order, or the unload order from kDraining on.
-  Incarnation issuer;
-  bool isWritten = false;
-  bool isReserved = false; ///< A former holder's order may still reach the runner.
-  bool isAnswered = false; ///< The runner has answered the order.
+  OrderId order;           ///< The load order, replaced by the unload order in kUnloadDecided.
+  Incarnation issuer;      ///< The daemon process that decided on the order.
+  bool isWritten = false;  ///< The order is in the placement row of the table.
+  bool isReserved = false; ///< An order of a former holder may still reach the runner.
+  bool isAnswered = false; ///< Confirmed by an answer of the runner or by an inventory.
   bool mayBeKnown = false; ///< The order may have reached the runner.
   TimePoint answeredAt{};
-  TimePoint nextOrder{};
+  TimePoint nextOrder{}; ///< Earliest time to send the order or to repeat the drain messages.
   TimePoint lastUsed{};
-  TimePoint unloadableFrom{};
+  TimePoint unloadableFrom{}; ///< Until then, routers that a former holder informed may use it.
   std::set<AdapterId> adapters;
-  std::map<AdapterId, TimePoint> adaptersLoading; ///< With the time to repeat the order.
-  std::map<DaemonId, TimePoint> users;            ///< Routers that may use it, and until when.
-  bool isLastLook = false;   ///< The runner is asked what runs on it before the unload is ordered.
-  std::uint32_t running = 0; ///< Requests that the runner reports on it.
-  TimePoint drainedFrom{};   ///< When it was last known to be in use.
+  std::map<AdapterId, TimePoint> adaptersLoading; ///< Adapter to the time to repeat its load order.
+  std::map<DaemonId, TimePoint> users; ///< Router to the end of its permission to use it.
+  bool isLastLook = false;   ///< The final inventory before the unload order was requested.
+  std::uint32_t running = 0; ///< Requests in flight, from the last inventory that listed the model.
+  /* Only an inventory that was requested at or after this time can show that no request is left. */
+  TimePoint drainedFrom{};
 };
 
+/* Whether a runner answers, by its last inventory order or a connection that failed since. */
 enum class RunnerReach : std::uint8_t
 {
-  kUnknown,
+  kUnknown, ///< No inventory order has ended in this lease term.
   kReached,
   kUnreachable,
 };
 
+/* A runner as the holder of the lease knows it. */
 struct Runner
 {
   EndpointId id;
-  std::string bootId;
+  std::string bootId; ///< Empty until the first inventory of the lease term.
   RunnerReach reach = RunnerReach::kUnknown;
   MemoryMb memory;
   std::map<ModelId, Replica> replicas;
-  std::set<ModelId> checkpoints; ///< Kept by its host.
-  std::uint32_t reportedLoad = 0;
-  OrderId inventory; ///< The inventory order under way; empty when none.
+  std::set<ModelId> checkpoints; ///< Models whose checkpoints are cached on the host of the runner.
+  std::uint32_t reportedLoad = 0; ///< Running and queued requests in the last inventory.
+  OrderId inventory;              ///< The inventory order in flight, or empty.
   TimePoint inventoryAskedAt{};
   TimePoint nextInventory{};
 };
 
-/* What routers ask for, merged over all of them. */
+/* The demand of all routers for one artifact, merged so that it leads to one load. */
 struct PendingDemand
 {
-  std::set<DaemonId> waiters;
-  TimePoint deadline{};
-  TimePoint expiresAt{}; ///< Forgotten unless a router repeats it.
-  std::uint32_t waiting = 0;
+  std::set<DaemonId> waiters; ///< Routers that get a reply when the artifact is loaded or refused.
+  TimePoint deadline{};       ///< Demands with earlier deadlines are served first.
+  TimePoint expiresAt{};      ///< Dropped at this time unless a router repeats its demand.
+  std::uint32_t waiting = 0;  ///< Largest number of waiting requests that one message has stated.
 };
 
-/* A suspect request that is to run alone on a runner. */
+/* A router's request to run a suspect alone on a runner. A suspect may have crashed a runner. */
 struct IsolationWait
 {
   RequestId request;
   Incarnation owner;
   Artifact artifact;
-  std::uint64_t ask = 0;
+  std::uint64_t ask = 0; ///< Number of the router's last message, echoed in the answer.
   TimePoint deadline{};
-  TimePoint expiresAt{}; ///< Forgotten unless its router repeats it.
+  TimePoint expiresAt{}; ///< Dropped at this time unless the router repeats it.
 };
 
-/* The runner that is kept free of all requests but one. */
+/* A runner reserved for one suspect. No other request may run there. */
 struct Isolation
 {
   IsolationWait wait;
   EndpointId runner;
-  bool isGranted = false;
-  TimePoint until{}; ///< Taken back at this time.
-  TimePoint nextDrain{};
+  bool isGranted = false; ///< All routers have stopped using the runner.
+  TimePoint until{};      ///< End of the grant. Unset before it.
+  TimePoint nextDrain{};  ///< When drain messages to the remaining routers are due.
 };
 
+/* The state of a cell's lease as seen by this daemon. */
 enum class LeasePhase : std::uint8_t
 {
-  kWatching,
+  kWatching, ///< Not held by this daemon.
   kAcquiring,
   kHeld,
 };
 
+/* One cell in one daemon. Only the holder of the lease keeps runners, replicas and isolation. */
 class Cell
 {
 public:
@@ -136,12 +144,14 @@
   void OnIsolationRelease(Context& aContext,
                           const View& aView,
                           const IsolationReleaseMessage& aRelease);
-  /* Drops an order that a newer holder has taken over. */
+  /* Steps down if the order belongs to a replica of this cell, as a newer holder has adopted it. */
   void OnWithdraw(Context& aContext, const OrderId& aOrder);
+  /* Removes the holder from the lease row and tells waiting routers that this daemon is not the
+   * holder. Does nothing while the lease is not held or a lease transaction is in flight. */
   void HandOver(Context& aContext, const View& aView);
 
   bool IsHeld() const { return mPhase == LeasePhase::kHeld; }
-  /* Returns whether the lease is neither held nor being taken. */
+  /* Returns whether the lease is neither held nor being acquired. */
   bool IsIdle() const { return mPhase == LeasePhase::kWatching && mLeaseChange.empty(); }
   void Dump(std::vector<DumpEntry>& aOut) const;
 
@@ -154,55 +164,74 @@
   void BeginTenure(Context& aContext, const View& aView, const PlacementRow& aPlacement);
   void StepDown(Context& aContext);
   void ReadRows(Context& aContext);
+  /* Returns whether the lease lasts longer than an order sent now can take to arrive. */
   bool IsLeaseSafe(const Context& aContext) const;
 
   // cell_placement.cpp
+  /* Returns whether the runners of the cell accept orders without checking the fencing token. */
   bool IsUnchecked(const View& aView) const;
+  /* Returns whether the runner is among the few that may load the model while the table is down. */
   bool IsCandidate(const Context& aContext,
                    const View& aView,
                    const ModelId& aModel,
                    const EndpointId& aRunner) const;
+  /* Counts replicas of any phase, and candidate runners that may hold an unwritten replica. */
   std::uint32_t CountReplicas(const Context& aContext,
                               const View& aView,
                               const ModelId& aModel) const;
+  /* Returns the memory left for aFor, after all replicas and the plans for other models. */
   MemoryMb FreeMemory(const Context& aContext,
                       const View& aView,
                       const Runner& aRunner,
                       const ModelId& aFor) const;
+  /* Decides to load the model on the best runner with enough free memory. Returns false if none. */
   bool TryPlace(Context& aContext, const View& aView, const ModelSpec& aModel);
+  /* Starts draining idle replicas of one runner to free memory for the model. Returns whether a
+   * runner is or was already chosen. */
   bool TryEvict(Context& aContext, const View& aView, const ModelSpec& aModel);
   void StartDrain(Context& aContext, const View& aView, Runner& aRunner, Replica& aReplica);
-  /* Has the runner asked once more what runs there, now that no router is known to use it. */
+  /* Makes an inventory due, and disregards older ones as evidence that the replica is idle. */
   static void NoteUnused(const Context& aContext, Runner& aRunner, Replica& aReplica);
+  /* Repeats drain messages, and decides on the unload of replicas that have no request left. */
   void ContinueDrains(Context& aContext, const View& aView);
+  /* Drains replicas that the keep-alive policy no longer retains. */
   void UnloadIdle(Context& aContext, const View& aView);
   void PreloadExpected(Context& aContext, const View& aView);
   void NoteUse(const Context& aContext, const DemandMessage& aDemand);
 
   // replica_count_policy.cpp
+  /* Returns the target number of replicas. */
   std::uint32_t DecidedReplicas(const ModelId& aModel) const;
+  /* Returns whether no replica of the model is loading, draining or unloading. */
   bool AreAllLoaded(const ModelId& aModel) const;
   void UpdateReplicaCounts(Context& aContext, const View& aView);
+  /* Loads each adapter that one replica of the model has on the others, one order at a time. */
   void LoadSharedAdapters(Context& aContext, const View& aView, const ModelId& aModel);
   void AddReplica(Context& aContext, const View& aView, const ModelSpec& aModel);
+  /* Drains the unloadable replica of the model whose runner reports the highest load. */
   void GiveUpReplica(Context& aContext, const View& aView, const ModelId& aModel);
   void WritePlacement(Context& aContext);
   PlacementRow MakePlacementRow(Context& aContext) const;
-  /* Time for which a router may use a location, by its own clock, which may run slower. */
+  /* Returns how long a router may use a location, as measured by this daemon's clock. It exceeds
+   * the replica lifetime by a quarter, because the router's clock may run slower. */
   static Duration UseLimit(const Context& aContext);
   void Remove(Runner& aRunner, const ModelId& aModel);
 
   // cell_order.cpp
+  /* Requests the inventories that are due, and drops runners that the host list no longer has. */
   void SyncRunners(Context& aContext, const View& aView);
   void SendOrders(Context& aContext, const View& aView);
+  /* Returns whether the replica's order may be sent, given the lease and the written placement. */
   bool MaySend(const Context& aContext,
                const View& aView,
                const Runner& aRunner,
                const Replica& aReplica) const;
-  /* Returns whether an answered inventory shows that nothing runs there since its last use. */
+  /* Returns whether the last inventory shows no request on the replica and is recent enough. */
   static bool IsSeenQuiet(const Runner& aRunner, const Replica& aReplica);
-  /* Returns whether the runner itself has just said that nothing runs on the replica. */
+  /* Requests a final inventory on the first call. Later calls return whether it shows no
+   * request. */
   static bool IsQuiet(Context& aContext, Runner& aRunner, Replica& aReplica);
+  /* Updates the replicas of a runner from its inventory. */
   void Reconcile(Context& aContext,
                  const View& aView,
                  Runner& aRunner,
@@ -216,14 +245,19 @@
                       Runner& aRunner,
                       Replica& aReplica,
                       const OrderResult& aResult);
+  /* Ends reservations whose issuer is dead, and asks the other issuers to withdraw their orders. */
   void ReleaseReserved(Context& aContext, const View& aView);
 
   // cell_demand.cpp
   void ServeDemands(Context& aContext, const View& aView);
+  /* Takes a token from the bucket that limits loads from the weight store. Returns false if the
+   * bucket is empty. */
   bool TakeLoadToken(const Context& aContext, const ServiceSpec& aService);
   std::uint32_t LoadsInFlight() const;
   std::uint32_t AdaptersInFlight() const;
+  /* Orders the adapter on the first replica of its model that lacks it. */
   void LoadAdapter(Context& aContext, const View& aView, const Artifact& aArtifact);
+  /* Permits the router to use the replicas that have the artifact, and returns their locations. */
   std::vector<ReplicaLocation> Grant(Context& aContext,
                                      const View& aView,
                                      const Artifact& aArtifact,
@@ -233,7 +267,9 @@
              const View& aView,
              const DaemonId& aTo,
              DemandReplyMessage aReply) const;
+  /* Returns whether a loaded replica of the model has the adapter, if any is named. */
   bool IsReady(const Artifact& aArtifact) const;
+  /* Returns the service of this cell, or nullptr when it is not in the configuration. */
   const ServiceSpec* Service(const View& aView) const;
 
   // cell_isolation.cpp
@@ -249,23 +285,23 @@
 
   CellId mId;
   LeasePhase mPhase = LeasePhase::kWatching;
-  Incarnation mHolder;
+  Incarnation mHolder; ///< As last read, or this daemon.
   Fence mFence;
   std::uint64_t mRenewals = 0;
   RowVersion mLeaseVersion;
   RowVersion mPlacementVersion;
-  PlacementRow mSeenPlacement;
-  TimePoint mSeenSince{};   ///< When this version of the lease was first seen.
-  TimePoint mLeaseUntil{};  ///< The lease is certainly held before this time.
-  TimePoint mLeaseSentAt{}; ///< When the lease transaction under way was sent.
-  ChangeId mLeaseChange;
-  ChangeId mPlacementChange;
-  ChangeId mRead;
-  bool mIsReleasing = false;
-  bool mIsSeen = false;
-  bool mIsDirty = false; ///< The placement differs from the written one.
-  bool mIsTableUp = true;
-  std::set<OrderId> mWriting; ///< Orders covered by the placement write under way.
+  PlacementRow mSeenPlacement; ///< As last read while the lease was not held.
+  TimePoint mSeenSince{};      ///< When this version of the lease row was first read.
+  TimePoint mLeaseUntil{};     ///< This daemon certainly holds the lease before this time.
+  TimePoint mLeaseSentAt{};    ///< When the last acquisition or renewal was sent.
+  ChangeId mLeaseChange;       ///< The lease transaction in flight, or empty.
+  ChangeId mPlacementChange;   ///< The placement transaction in flight, or empty.
+  ChangeId mRead;              ///< The read in flight, or empty.
+  bool mIsReleasing = false;   ///< The lease transaction in flight gives the lease up.
+  bool mIsSeen = false;        ///< The lease row was read since this daemon last stepped down.
+  bool mIsDirty = false;       ///< The placement row has to be written.
+  bool mIsTableUp = true;      ///< The last table call of this cell got an answer.
+  std::set<OrderId> mWriting;  ///< Orders in the placement transaction in flight.
   TimePoint mNextLeaseAction{};
   TimePoint mNextPlacementWrite{};
   TimePoint mNextKeepAlive{};
@@ -273,13 +309,13 @@
   TimePoint mNextCountUpdate{};
   std::map<EndpointId, Runner> mRunners;
   std::map<Artifact, PendingDemand> mDemands;
-  std::map<ModelId, EndpointId> mPlanned; ///< Where room is being made for a model.
+  std::map<ModelId, EndpointId> mPlanned; ///< Model to the runner where memory is freed for it.
   std::map<ModelId, ModelUsage> mUsage;
   std::deque<IsolationWait> mIsolationWaits;
   std::optional<Isolation> mIsolation;
-  std::map<ModelId, ReplicaCount> mCounts; ///< Of models that may have more than one replica.
-  IdleHistogram mCellIdleTimes;            ///< Of all models.
-  double mLoadTokens = 1.0;
+  std::map<ModelId, ReplicaCount> mCounts; ///< Only of models that may have several replicas.
+  IdleHistogram mCellIdleTimes;            ///< Idle times of all models of the cell.
+  double mLoadTokens = 1.0;                ///< Tokens left in the bucket that limits loads.
   TimePoint mLoadTokensAt{};
 };
 
--- a/src/decision/scheduler/cell_demand.cpp
+++ b/src/decision/scheduler/cell_demand.cpp
@@ -1,4 +1,5 @@
-/* Demands of the routers: merged by model, served by loads, answered with locations. */
+/* Demands of the routers. They are merged by artifact, served by loads and answered with the
+ * locations of replicas. */
 #include "decision/scheduler/cell_base.h"
 
 #include <algorithm>
@@ -7,9 +8,10 @@
 
 namespace {
 
-/* A demand that no router repeats is forgotten after this time. */
+/* Time after which a demand is dropped unless a router repeats it. */
 constexpr Duration kDemandLifetime = 3s;
-/* Time after which a refused router may ask again when no better estimate exists. */
+/* Delay after which a refused router may repeat its demand. It is fixed, as no better estimate
+ * exists. */
 constexpr Duration kRefusalPause = 2s;
 
 } // namespace
@@ -45,7 +47,8 @@
 {
   ModelUsage& usage = mUsage[aDemand.artifact.model];
   const Duration idle = aContext.now() - usage.lastUsed;
-  // Routers report use more often than this, so a shorter pause may be none at all.
+  // Routers report the use of a model at shorter intervals than this, so after a shorter gap
+  // between reports the model may not have been idle.
   if (usage.isUsed && idle >= aContext.settings().replicaLifetime) {
     usage.idleTimes.Add(idle);
     mCellIdleTimes.Add(idle);
--- a/src/decision/scheduler/cell_isolation.cpp
+++ b/src/decision/scheduler/cell_isolation.cpp
@@ -1,4 +1,4 @@
-/* Keeps one runner of the cell free for a request that is suspected of crashing runners. */
+/* Reserves one runner of the cell for a request that is suspected of crashing runners. */
 #include "decision/scheduler/cell_base.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace {
 
-/* Suspects that wait for a runner at most; more are refused at once. */
+/* Maximum number of suspects that wait for a runner. Further ones are refused at once. */
 constexpr std::size_t kIsolationWaitLimit = 64;
-/* A waiting suspect that its router does not repeat is forgotten after this time. */
+/* Time after which a waiting suspect is dropped unless its router repeats the request. */
 constexpr Duration kIsolationWaitLifetime = 3s;
-/* Longest time for which one request has a runner for itself. */
+/* Maximum time for which a runner is granted to one suspect. */
 constexpr Duration kIsolationLimit = 60s;
-/* Time between repeats of a drain that a router has not answered. */
+/* Interval at which a drain message is repeated to a router that has not answered it. */
 constexpr Duration kIsolationDrainRepeat = 1s;
 
 } // namespace
@@ -124,7 +124,8 @@
       const std::set<AdapterId>& adapters = found->second.adapters;
       const bool hasAdapter =
         wait->artifact.adapter.empty() || adapters.contains(wait->artifact.adapter);
-      // Routers that a former holder told of a replica may use it until unloadableFrom.
+      // A former holder may have sent the location of a replica to routers that are unknown here.
+      // They may use it until unloadableFrom.
       const bool isKnown =
         std::all_of(runner.replicas.begin(), runner.replicas.end(), [&](const auto& aItem) {
           return aItem.second.unloadableFrom <= aContext.now();
@@ -143,7 +144,7 @@
   const bool isDrainDue = mIsolation->nextDrain <= aContext.now();
   bool isFree = true;
   for (auto& [model, replica] : mRunners.at(mIsolation->runner).replicas) {
-    replica.lastUsed = aContext.now(); // Not to be unloaded meanwhile.
+    replica.lastUsed = aContext.now(); // Prevents an unload during the isolation.
     std::erase_if(replica.users, [&](const auto& aUser) { return aUser.second <= aContext.now(); });
     isFree = isFree && replica.users.empty();
     for (const auto& [user, until] : replica.users) {
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -1,4 +1,4 @@
-/* A cell's lease: watching, taking, renewing and handing it over. */
+/* The lease of a cell: watching, acquiring, renewing and releasing it. */
 #include "decision/scheduler/cell_base.h"
 
 #include "decision/configuration_func.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-/* Daemons that watch a cell's lease, ready to take it over. */
+/* Number of daemons, the best ranked for the cell, that watch its lease in order to take it over.
+ * Daemons with a pending demand for the cell watch it, too. */
 constexpr std::size_t kWatchers = 3;
 
 } // namespace
@@ -91,7 +92,8 @@
   const bool isOurs = holder == aContext.self();
 
   if (mPhase == LeasePhase::kHeld) {
-    // A read back after a write with unknown outcome.
+    // While the lease is held, the rows are read only after a write that conflicted or whose result
+    // is unknown.
     if (!isOurs || fence != mFence) {
       StepDown(aContext);
       return;
@@ -99,7 +101,7 @@
     mLeaseVersion = aLease.version;
     mRenewals = lease->renewals;
     mPlacementVersion = aPlacement.version;
-    // The write that was lost may have been that of the placement.
+    // The placement write may be the one that failed, so the placement is written again.
     mIsDirty = true;
     mNextLeaseAction = aContext.now();
     mNextPlacementWrite = aContext.now();
@@ -122,14 +124,15 @@
     return;
   }
   if (isOurs) {
-    // Our own acquisition, whose answer was lost. It is not known when it took effect, so the
-    // lease counts as lapsed until the next renewal.
+    // This daemon acquired the lease, but the result was lost. As the time of the acquisition is
+    // unknown, the lease is treated as expired until the next renewal.
     mLeaseUntil = {};
     BeginTenure(aContext, aView, mSeenPlacement);
     mNextLeaseAction = aContext.now();
     return;
   }
-  // A holder's clock may run slower than ours by this much.
+  // The holder measures the lease length by its own clock. The extra quarter allows for a clock
+  // that runs slower than this daemon's.
   const Duration patience = aContext.settings().leaseLength * 5 / 4;
   if (holder.daemon.empty() || aContext.now() - mSeenSince >= patience) {
     Acquire(aContext);
@@ -212,7 +215,7 @@
     mPlacementChange = {};
   }
   if (isPlacement && aResult.outcome != TransactionOutcome::kCommitted) {
-    // What was to be written is not known to be written, so it is written again.
+    // The placement may not have been written, so it is written again.
     mIsDirty = true;
     mWriting.clear();
   }
@@ -231,7 +234,8 @@
       StepDown(aContext);
       return;
     }
-    // Either another daemon took over, or an earlier write of ours took effect late.
+    // Either another daemon took the lease over, or an earlier write by this daemon took effect
+    // late.
     mIsReleasing = false;
     if (mRead.empty()) {
       ReadRows(aContext);
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -1,4 +1,4 @@
-/* Orders to the runners of a cell, and what they answer. */
+/* Orders to the runners of a cell and the handling of their results. */
 #include "decision/scheduler/cell_base.h"
 
 #include "decision/configuration_func.h"
@@ -9,11 +9,11 @@
 
 namespace {
 
-/* Time between looks at the inventory of a runner that answers. */
+/* Interval between inventory orders to a runner that answers. */
 constexpr Duration kInventoryInterval = 2s;
-/* How long a runner is not asked when fenced recovery is switched off. */
+/* Delay before the first regular inventory order when fenced recovery is disabled. */
 constexpr Duration kUnaskedTime = 60s;
-/* Stands for the boot id of a runner whose process has gone; no process has it. */
+/* Boot id recorded for a runner whose process has ended. No process has this id. */
 constexpr const char* kNoProcess = "none";
 
 } // namespace
@@ -27,7 +27,8 @@
     const ServiceSpec* service = Service(aView);
     if (!aContext.IsEnabled(Mechanism::kFencedRecovery) && runner.bootId.empty() &&
         service != nullptr) {
-      // For tests: what a runner holds is assumed and not asked.
+      // Only in tests: the first inventory is not awaited. The boot id comes from the host list,
+      // the memory from the configuration and the replicas from the written placement.
       runner.bootId = info.bootId;
       runner.reach = RunnerReach::kReached;
       runner.memory = service->runnerMemory;
@@ -51,7 +52,7 @@
                              .version = {},
                              .memory = {} });
   }
-  // A runner that the host list has dropped is gone, and what it held with it.
+  // A runner that the host list no longer contains is gone, together with its replicas.
   const auto before = mRunners.size();
   std::erase_if(mRunners,
                 [&](const auto& aItem) { return aView.FindEndpoint(aItem.first) == nullptr; });
@@ -76,7 +77,8 @@
   if (!aContext.IsEnabled(Mechanism::kWrittenIntent)) {
     return true;
   }
-  // Checked runners go on while the table is down, on the model's candidate runners only.
+  // While the table is down, runners that check the fencing token get unwritten orders, too:
+  // unloads everywhere, and loads on the candidate runners of the model only.
   const bool isUnload = aReplica.phase == ReplicaPhase::kUnloadDecided;
   return !mIsTableUp && (isUnload || IsCandidate(aContext, aView, aReplica.model, aRunner.id));
 }
@@ -93,7 +95,8 @@
     return true;
   }
   if (!aReplica.isLastLook) {
-    // The write of the intent may have taken long: the runner is asked once more.
+    // The placement write may have taken long, so another inventory has to show that no request is
+    // left before the unload order is sent.
     aReplica.isLastLook = true;
     NoteUnused(aContext, aRunner, aReplica);
     aContext.WakeBy(aContext.now());
@@ -106,7 +109,9 @@
 {
   for (auto& [id, runner] : mRunners) {
     if (runner.bootId.empty()) {
-      // Its first inventory would be taken for one that came after the order.
+      // Orders wait for the first inventory of the lease term. Reconcile() may remove a former
+      // holder's replica that this inventory does not list, which would be wrong if its load order
+      // had been sent again before.
       continue;
     }
     for (auto& [model, replica] : runner.replicas) {
@@ -129,7 +134,7 @@
         continue;
       }
       replica.phase = isLoad ? ReplicaPhase::kLoading : ReplicaPhase::kUnloading;
-      // Until the outcome is reported, the order counts as under way and is not repeated.
+      // The order is not repeated before its result is known.
       replica.nextOrder = TimePoint::max();
       aContext.Emit(SendOrder{ .cell = mId,
                                .runner = id,
@@ -163,7 +168,7 @@
       Reconcile(aContext, aView, runner, aResult.inventory);
     } else {
       if (aResult.outcome == OrderOutcome::kRefused && !runner.bootId.empty()) {
-        // What a process held that this tenure has seen is gone with it.
+        // The runner's process has ended, and with it the replicas that it had.
         Reconcile(aContext, aView, runner, { .bootId = kNoProcess, .models = {} });
       }
       runner.nextInventory = aContext.now() + aContext.settings().orderRetry;
@@ -171,7 +176,8 @@
     }
     const bool isReached = runner.reach == RunnerReach::kReached;
     if (wasReached && isReached && !mIsDirty && mDemands.empty()) {
-      // Nothing new; the rest of the cell is looked at with the next wake.
+      // The runner still answers, the placement is unchanged and no demand is pending, so the other
+      // steps wait for the next wake-up.
       aContext.WakeBy(runner.nextInventory);
       return;
     }
@@ -287,7 +293,7 @@
   for (const LoadedModel& loaded : aInventory.models) {
     Replica& replica = aRunner.replicas[loaded.model];
     if (replica.model.empty()) {
-      // Loaded by an order that is not in the written placement.
+      // The model was loaded by an order that is not in the placement known to this daemon.
       const auto spec = aView.configuration().models.find(loaded.model);
       replica.model = loaded.model;
       replica.version = loaded.version;
@@ -306,7 +312,8 @@
     replica.mayBeKnown = true;
     replica.running = loaded.running;
     if (replica.phase == ReplicaPhase::kLoaded && !replica.isAnswered) {
-      // Inherited and seen: when it is missing later, it is gone.
+      // The inventory confirms a former holder's replica. If a later inventory does not list it, it
+      // is gone.
       replica.isAnswered = true;
       replica.answeredAt = aContext.now();
     }
@@ -328,7 +335,8 @@
       std::any_of(aInventory.models.begin(),
                   aInventory.models.end(),
                   [&](const LoadedModel& aLoaded) { return aLoaded.model == model; });
-    // Only an inventory asked for after the order was answered can show that it is undone.
+    // An inventory that was requested before the order was confirmed may be older than the load, so
+    // it does not prove that the model is gone.
     const bool wasLoaded =
       replica.phase == ReplicaPhase::kLoaded || replica.phase == ReplicaPhase::kDraining;
     const bool isSettled =
@@ -343,6 +351,8 @@
       replica.isAnswered = false;
       continue;
     }
+    // Once a runner that checks the fencing token has answered an order of this term, it rejects
+    // all orders of former holders. A load of theirs that is not listed then never happens.
     const bool isFenced = !IsUnchecked(aView);
     const bool isAdopted = isInherited && (isFenced || replica.phase == ReplicaPhase::kLoaded);
     if (isSettled || isAdopted || (isRestarted && replica.isAnswered)) {
@@ -396,7 +406,7 @@
   for (const auto& [id, runner] : mRunners) {
     for (const auto& [model, replica] : runner.replicas) {
       if (replica.order == aOrder) {
-        // Somebody else adopted our order, so the lease is no longer ours.
+        // A newer holder has adopted the order, so this daemon no longer holds the lease.
         StepDown(aContext);
         return;
       }
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -1,4 +1,5 @@
-/* Where replicas go, and which ones make room. */
+/* Chooses the runners for new replicas and the replicas to evict, drains replicas and writes the
+ * placement row. */
 #include "decision/scheduler/cell_base.h"
 
 #include "decision/configuration_func.h"
@@ -11,11 +12,11 @@
 
 namespace {
 
-/* Time between looks for idle replicas. */
+/* Interval between checks for idle replicas. */
 constexpr Duration kKeepAliveInterval = 500ms;
-/* Time between repeats of a drain that a router has not answered. */
+/* Interval at which a drain message is repeated to a router that has not answered it. */
 constexpr Duration kDrainRepeat = 1s;
-/* Idle time after which a replica may make room for another model. */
+/* Idle time after which a replica may be evicted for another model. */
 constexpr Duration kEvictableIdle = 1s;
 
 PlacementState StateOf(ReplicaPhase aPhase)
@@ -180,7 +181,8 @@
       free += replica->memory;
       victims.push_back(replica);
     }
-    // The runner whose most recently used victim is oldest loses least.
+    // Prefers a runner that needs no eviction, then the one whose most recently used victim has
+    // been idle the longest.
     const TimePoint age = victims.empty() ? TimePoint::min() : victims.back()->lastUsed;
     if (free >= needed && age < bestAge) {
       best = &runner;
@@ -216,7 +218,7 @@
   aRunner.nextInventory = aContext.now();
 }
 
-/* Returns whether a runner takes no new work any more. */
+/* Returns whether a runner is leaving and takes no new requests. */
 static bool IsLeaving(const View& aView, const EndpointId& aRunner)
 {
   const EndpointInfo* info = aView.FindEndpoint(aRunner);
@@ -227,7 +229,7 @@
 {
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
-      // What a leaving runner holds is given up, so that it can be loaded elsewhere.
+      // Replicas on a leaving runner are drained, so that their models can be loaded elsewhere.
       if (replica.phase == ReplicaPhase::kLoaded && IsLeaving(aView, id)) {
         replica.phase = ReplicaPhase::kDraining;
         replica.nextOrder = aContext.now();
@@ -241,7 +243,8 @@
       if (wasUsed && replica.users.empty()) {
         NoteUnused(aContext, runner, replica);
       }
-      // Routers that a takeover has made unknown are seen in what the runner itself reports.
+      // After a takeover, routers that a former holder informed are not in the list of users. The
+      // inventory still shows their requests.
       if (replica.users.empty() &&
           (IsSeenQuiet(runner, replica) || !aContext.IsEnabled(Mechanism::kDrainBeforeUnload))) {
         replica.isLastLook = false;
@@ -314,7 +317,8 @@
       const double share = runner.memory.value == 0 ? 0.0
                                                     : static_cast<double>(replica.memory.value) /
                                                         static_cast<double>(runner.memory.value);
-      // A pre-loaded replica has been idle since its model was last used, not since its load.
+      // The idle time of a preloaded replica starts with the last use of its model, not with its
+      // load.
       const ModelUsage& usage = mUsage[model];
       const Duration idle = aContext.now() - (usage.isUsed ? usage.lastUsed : replica.lastUsed);
       const bool isHeld =
--- a/src/decision/scheduler/keep_alive.cpp
+++ b/src/decision/scheduler/keep_alive.cpp
@@ -1,4 +1,5 @@
-/* Keep-alive policies. */
+/* Keep-alive policies: a fixed limit, a histogram of idle times, and a comparison of the expected
+ * cold start with the cost of the memory. */
 #include "decision/scheduler/keep_alive_base.h"
 
 #include "core/overloaded.h"
@@ -10,15 +11,16 @@
 
 namespace {
 
-/* Idle times that a model must have shown before its own histogram is trusted alone. */
+/* Number of recorded idle times below which the policies do not predict from them. */
 constexpr std::uint32_t kTrustedSamples = 8;
-/* Weight, in samples, of the cell's histogram beside a model's own. */
+/* Weight of the whole cell histogram, in samples, when it is added to a model's own. */
 constexpr double kPriorSamples = 2.0;
-/* Idle limit while neither the model nor its cell has shown idle times. */
+/* Idle limit while there are too few idle times to predict from. */
 constexpr Duration kUntrustedLimit = 60s;
-/* Buckets to each doubling of the idle time. */
+/* Number of histogram buckets for each doubling of the idle time. */
 constexpr double kBucketsPerOctave = 4.0;
-/* A pre-load must be worth this many times its cost, as the prediction may be wrong. */
+/* Factor by which the expected benefit of a preload must exceed its cost, as a prediction can be
+ * wrong. */
 constexpr double kPreloadMargin = 1.5;
 
 bool IsHeld(const HistogramKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
@@ -27,12 +29,14 @@
     return aIdle < std::clamp(kUntrustedLimit, aPolicy.minimum, aPolicy.maximum);
   }
   const Duration tail = aInput.usage.idleTimes.Percentile(aPolicy.percentile);
-  // A model that mostly returns later than the maximum is not worth keeping at all.
+  // If the percentile exceeds the maximum, a replica cannot be kept long enough to cover that share
+  // of the idle times, so only the minimum applies.
   return aIdle < (tail > aPolicy.maximum ? aPolicy.minimum : std::max(tail, aPolicy.minimum));
 }
 
-/* Returns the best ratio, over all horizons, of the expected cold start saved to the memory time
- * spent by holding from aIdle on. Above 1, holding pays. */
+/* Returns the ratio of the expected cold-start time saved to the expected memory time spent if the
+ * replica is kept from idle time aIdle on, for the end of keeping that gives the highest ratio.
+ * From 1 on, keeping the replica is worth its cost. */
 double HoldingRatio(const CostAwareKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
 {
   const IdleHistogram& own = aInput.usage.idleTimes;
@@ -56,7 +60,7 @@
     const Duration end = IdleHistogram::UpperEnd(bucket);
     const double length = std::chrono::duration<double>(end - from).count();
     const double returning = weightOf(bucket);
-    // Those that return within the bucket do so at its middle on average.
+    // Idle times that end within the bucket are assumed to end at its middle.
     held += length * (remaining - returning / 2);
     remaining -= returning;
     returned += returning;
--- a/src/decision/scheduler/keep_alive_base.h
+++ b/src/decision/scheduler/keep_alive_base.h
@@ -1,4 +1,5 @@
-/* Keep-alive policies: how long an idle replica keeps its accelerator, and when it comes back. */
+/* Keep-alive policies: how long an idle replica stays loaded, and when an unloaded model is loaded
+ * before its next use. */
 #ifndef RHUBARBTRAIL_DECISION_SCHEDULER_KEEP_ALIVE_BASE_H
 #define RHUBARBTRAIL_DECISION_SCHEDULER_KEEP_ALIVE_BASE_H
 
@@ -11,7 +12,8 @@
 
 namespace rhubarbtrail {
 
-/* Counts the idle times of a model in buckets of growing length, four to each doubling. */
+/* Histogram of the idle times of a model or a cell. The first bucket ends at 1 s, and the bounds
+ * then double every four buckets. The last bucket also counts all longer times. */
 class IdleHistogram
 {
 public:
@@ -21,10 +23,12 @@
   std::uint32_t total() const { return mTotal; }
   std::uint32_t count(std::size_t aBucket) const { return mCounts[aBucket]; }
 
+  /* Returns the bucket that counts this idle time. */
   static std::size_t BucketOf(Duration aIdle);
+  /* Returns the upper bound of the bucket. */
   static Duration UpperEnd(std::size_t aBucket);
 
-  /* Returns the upper end of the bucket in which the percentile lies. */
+  /* Returns the upper bound of the bucket in which the percentile lies. */
   Duration Percentile(std::uint32_t aPercentile) const;
 
 private:
@@ -32,28 +36,29 @@
   std::uint32_t mTotal = 0;
 };
 
-/* What is known of the use of a model. */
+/* The recorded use of a model. */
 struct ModelUsage
 {
   TimePoint lastUsed{};
-  bool isUsed = false;
-  bool isPreloaded = false; ///< Since it was last used: a prediction is tried once.
+  bool isUsed = false;      ///< A use has been recorded.
+  bool isPreloaded = false; ///< A preload was decided since the last use. It is not repeated.
   IdleHistogram idleTimes;
 };
 
-/* What a policy may weigh when it decides about a replica. */
+/* The data on which a policy decides. */
 struct KeepAliveInput
 {
   const ModelUsage& usage;
-  const IdleHistogram& cellIdleTimes; ///< Of all models of the cell: what to expect of a new one.
-  Duration expectedLoad{};
-  double memoryShare = 0; ///< Of the runner's memory.
+  const IdleHistogram& cellIdleTimes; ///< All models of the cell, for models with few idle times.
+  Duration expectedLoad{};            ///< Expected duration of a load.
+  double memoryShare = 0;             ///< Fraction of the runner's memory that the replica takes.
 };
 
-/* Returns whether a replica that was idle for this time keeps its memory. */
+/* Returns whether a replica that has been idle for this time stays loaded. */
 bool IsWorthHolding(const KeepAlivePolicy& aPolicy, const KeepAliveInput& aInput, Duration aIdle);
 
-/* Returns whether an unloaded model, idle for this time, is to be loaded before it is asked for. */
+/* Returns whether an unloaded model that has been idle for this time is loaded before its next use.
+ * Only the cost-aware policy preloads. */
 bool IsWorthPreloading(const KeepAlivePolicy& aPolicy,
                        const KeepAliveInput& aInput,
                        Duration aIdle);
--- a/src/decision/scheduler/placement_policy_type.h
+++ b/src/decision/scheduler/placement_policy_type.h
@@ -1,4 +1,4 @@
-/* How the runners that have room for a replica are ranked. */
+/* The ranking of the runners that have enough free memory for a replica. */
 #ifndef RHUBARBTRAIL_DECISION_SCHEDULER_PLACEMENT_POLICY_TYPE_H
 #define RHUBARBTRAIL_DECISION_SCHEDULER_PLACEMENT_POLICY_TYPE_H
 
@@ -6,12 +6,13 @@
 
 namespace rhubarbtrail {
 
-/* The higher score is the better place; members are compared in their order. */
+/* The runner with the highest score gets the replica. Members are compared in the order in which
+ * they are declared. */
 struct PlacementScore
 {
-  bool hasCheckpoint = false; ///< The load takes less time, and nothing from the weight store.
-  bool isCandidate = false;   ///< Also allowed while the table is down.
-  MemoryMb free;
+  bool hasCheckpoint = false; ///< The load is faster and reads nothing from the weight store.
+  bool isCandidate = false;   ///< The runner may also load the model while the table is down.
+  MemoryMb free;              ///< Free memory on the runner before the load.
 
   auto operator<=>(const PlacementScore&) const = default;
 };
--- a/src/decision/scheduler/preload_policy.cpp
+++ b/src/decision/scheduler/preload_policy.cpp
@@ -1,11 +1,11 @@
-/* Loads models shortly before they are expected to be asked for, into memory that is free. */
+/* Loads models into free memory shortly before their predicted next use. */
 #include "decision/scheduler/cell_base.h"
 
 namespace rhubarbtrail {
 
 namespace {
 
-/* Time between looks for models that are about to return. */
+/* Interval between checks for models to preload. */
 constexpr Duration kPreloadInterval = 2s;
 
 } // namespace
@@ -36,7 +36,8 @@
     if (!IsWorthPreloading(service->keepAlive, input, idleWhenLoaded)) {
       continue;
     }
-    // Demands go first: a pre-load takes neither the last load slot nor a room being made.
+    // Demands take precedence. A preload leaves a load slot free, and TryPlace() does not use
+    // memory that is being freed for another model.
     const bool isStoreFree = LoadsInFlight() + 1 < service->store.concurrentLoads;
     if (!mDemands.empty() || !isStoreFree || !TakeLoadToken(aContext, *service)) {
       return;
--- a/src/decision/scheduler/replica_count_policy.cpp
+++ b/src/decision/scheduler/replica_count_policy.cpp
@@ -1,4 +1,4 @@
-/* The number of replicas: the policy, and how a cell carries it out. */
+/* The target number of replicas of a model, and the steps by which a cell reaches it. */
 #include "decision/scheduler/cell_base.h"
 
 #include <algorithm>
@@ -7,16 +7,17 @@
 
 namespace {
 
-/* Demand must exceed the replicas for this time before another one is decided. */
+/* Time for which requests must exceed the capacity of the replicas before one is added. */
 constexpr Duration kGrowAfter = 2s;
-/* One replica less must do for this time before one is given up. */
+/* Time for which one replica fewer must be sufficient before one is removed. */
 constexpr Duration kShrinkAfter = 60s;
-/* Share of its concurrency up to which a replica is filled when replicas are given up. */
+/* A replica is removed only while the requests stay below this share of the concurrency of the
+ * remaining ones. */
 constexpr double kShrinkUtilisation = 0.5;
-/* Time between updates of the decided numbers. */
+/* Interval between updates of the target numbers. */
 constexpr Duration kUpdateInterval = 1s;
 
-/* Returns whether a condition has held for a time, and notes since when. */
+/* Returns whether a condition has held for aTime, and keeps the start of that time in aSince. */
 bool HasHeld(std::optional<TimePoint>& aSince, bool aHolds, TimePoint aNow, Duration aTime)
 {
   if (!aHolds) {
@@ -56,7 +57,7 @@
   const bool isShort = requests > capacity && mDecided < aLimits.maximum;
   const bool isSpare = mDecided > 1 && static_cast<double>(requests) < spare;
   if (mDecided > aLimits.maximum) {
-    --mDecided; // The configuration allows fewer now.
+    --mDecided; // The configured maximum was lowered.
   } else if (HasHeld(mShortSince, isShort, aNow, kGrowAfter)) {
     ++mDecided;
     mShortSince.reset();
@@ -96,7 +97,8 @@
   aContext.WakeBy(mNextCountUpdate);
   for (auto& [model, count] : mCounts) {
     const auto spec = aView.configuration().models.find(model);
-    // While a replica comes or goes, demand says little of the number that is needed.
+    // While a replica is being loaded or unloaded, the demand does not show how many replicas are
+    // needed.
     if (spec == aView.configuration().models.end() || !AreAllLoaded(model)) {
       continue;
     }
@@ -130,7 +132,8 @@
 void Cell::AddReplica(Context& aContext, const View& aView, const ModelSpec& aModel)
 {
   const ServiceSpec* service = Service(aView);
-  // The first replica of another model goes before a further one of this.
+  // OnWake() serves the demands first, so the first replicas of other models get load slots and
+  // tokens before an additional replica of this model.
   const bool isStoreFree = LoadsInFlight() < service->store.concurrentLoads;
   if (isStoreFree && TakeLoadToken(aContext, *service) && !TryPlace(aContext, aView, aModel)) {
     mLoadTokens += 1.0;
--- a/src/decision/scheduler/replica_count_policy_base.h
+++ b/src/decision/scheduler/replica_count_policy_base.h
@@ -1,4 +1,4 @@
-/* How many replicas of a model are decided: from demand, with hysteresis. */
+/* The target number of replicas of a model, computed from demand with hysteresis. */
 #ifndef RHUBARBTRAIL_DECISION_SCHEDULER_REPLICA_COUNT_POLICY_BASE_H
 #define RHUBARBTRAIL_DECISION_SCHEDULER_REPLICA_COUNT_POLICY_BASE_H
 
@@ -12,28 +12,30 @@
 
 namespace rhubarbtrail {
 
-/* The limits between which the number of replicas moves. */
+/* Configured limits for the target number of replicas. */
 struct ReplicaCountLimits
 {
-  std::uint32_t maximum = 1;
+  std::uint32_t maximum = 1;     ///< Maximum number of replicas.
   std::uint32_t concurrency = 1; ///< Requests that one replica runs at a time.
 };
 
-/* The decided number of replicas of one model. */
+/* Computes the target number of replicas of one model. */
 class ReplicaCount
 {
 public:
-  /* Takes a router's report for one adapter: its requests that run or wait. */
+  /* Records how many requests a router has waiting or in flight for one adapter. The number counts
+   * until aExpires or the router's next report for that adapter. */
   void Report(const DaemonId& aRouter,
               const AdapterId& aAdapter,
               std::uint32_t aRequests,
               TimePoint aExpires);
 
-  /* Adopts replicas that a former holder had decided. */
+  /* Raises the target to the replicas that exist, which a former holder may have added. */
   void Adopt(std::uint32_t aReplicas);
 
-  /* Moves the number by at most one and returns it. It grows when demand has exceeded the
-   * replicas for a short time, and shrinks when one less would do for a long time. */
+  /* Changes the target by at most one and returns it. It rises after the requests have exceeded the
+   * capacity of the replicas for a short time, and falls after one replica fewer has been
+   * sufficient for a long time. */
   std::uint32_t Update(TimePoint aNow, const ReplicaCountLimits& aLimits);
 
   std::uint32_t decided() const { return mDecided; }
--- a/src/decision/scheduler/scheduler.cpp
+++ b/src/decision/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-/* Hands events to the cells that they concern. */
+/* Passes events to the cells. */
 #include "decision/scheduler/scheduler_base.h"
 
 #include <algorithm>
@@ -97,7 +97,7 @@
     cell->second.OnWithdraw(aContext, aWithdraw.order);
   }
   if (mOrdersInFlight.contains(aWithdraw.order)) {
-    return; // The new holder asks again.
+    return; // The result is still open. The new holder repeats its message.
   }
   aView.SendTo(
     aContext, aFrom, OrderWithdrawnMessage{ aWithdraw.cell, aWithdraw.order, aWithdraw.issuer });
