--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -36,30 +36,32 @@
   std::string version;
   MemoryMb memory; ///< Reserved for the weights and all adapters of the model.
   ReplicaPhase phase = ReplicaPhase::kLoadDecided;
-  OrderId order;           ///< The load order, replaced by the unload order in kUnloadDecided.
-  Incarnation issuer;      ///< The daemon process that decided on the order.
-  bool isWritten = false;  ///< The order is in the placement row of the table.
-  bool isReserved = false; ///< An order of a former holder may still reach the runner.
-  bool isAnswered = false; ///< Confirmed by an answer of the runner or by an inventory.
-  bool mayBeKnown = false; ///< The order may have reached the runner.
-  TimePoint answeredAt{};
-  TimePoint nextOrder{}; ///< Earliest time to send the order or to repeat the drain messages.
+  OrderId order;                ///< The load order, replaced by the unload order in kUnloadDecided.
+  Incarnation issuer;           ///< The daemon process that decided on the order.
+  bool isIntentWritten = false; ///< The order is in the placement row of the table.
+  bool isReserved = false;      ///< An order of a former holder may still reach the runner.
+  bool isOrderConfirmed = false;     ///< Confirmed by an answer of the runner or by an inventory.
+  bool mayHaveReachedRunner = false; ///< The order may have reached the runner.
+  TimePoint orderConfirmedAt{};
+  TimePoint nextSendAt{}; ///< Earliest time to send the order or to repeat the drain messages.
   TimePoint lastUsed{};
   TimePoint unloadableFrom{}; ///< Until then, routers that a former holder informed may use it.
   std::set<AdapterId> adapters;
-  std::map<AdapterId, TimePoint> adaptersLoading; ///< Adapter to the time to repeat its load order.
-  std::map<DaemonId, TimePoint> users; ///< Router to the end of its permission to use it.
-  bool isLastLook = false;   ///< The final inventory before the unload order was requested.
+  std::map<AdapterId, TimePoint> adapterRetryAt;  ///< Adapter to the time to repeat its load order.
+  std::map<DaemonId, TimePoint>
+    permittedRouters; ///< Router to the end of its permission to use it.
+  bool isFinalInventoryRequested =
+    false;                   ///< The final inventory before the unload order was requested.
   std::uint32_t running = 0; ///< Requests in flight, from the last inventory that listed the model.
   /* Only an inventory that was requested at or after this time can show that no request is left. */
-  TimePoint drainedFrom{};
+  TimePoint idleCheckFrom{};
 };
 
 /* Whether a runner answers, by its last inventory order or a connection that failed since. */
-enum class RunnerReach : std::uint8_t
+enum class RunnerReachability : std::uint8_t
 {
   kUnknown, ///< No inventory order has ended in this lease term.
-  kReached,
+  kReachable,
   kUnreachable,
 };
 
@@ -68,27 +70,28 @@
 {
   EndpointId id;
   std::string bootId; ///< Empty until the first inventory of the lease term.
-  RunnerReach reach = RunnerReach::kUnknown;
+  RunnerReachability reachability = RunnerReachability::kUnknown;
   MemoryMb memory;
   std::map<ModelId, Replica> replicas;
   std::set<ModelId> checkpoints; ///< Models whose checkpoints are cached on the host of the runner.
   std::uint32_t reportedLoad = 0; ///< Running and queued requests in the last inventory.
-  OrderId inventory;              ///< The inventory order in flight, or empty.
-  TimePoint inventoryAskedAt{};
-  TimePoint nextInventory{};
+  OrderId inventoryOrder;         ///< The inventory order in flight, or empty.
+  TimePoint inventoryRequestedAt{};
+  TimePoint nextInventoryAt{};
 };
 
 /* The demand of all routers for one artifact, merged so that it leads to one load. */
 struct PendingDemand
 {
-  std::set<DaemonId> waiters; ///< Routers that get a reply when the artifact is loaded or refused.
-  TimePoint deadline{};       ///< Demands with earlier deadlines are served first.
-  TimePoint expiresAt{};      ///< Dropped at this time unless a router repeats its demand.
-  std::uint32_t waiting = 0;  ///< Largest number of waiting requests that one message has stated.
+  std::set<DaemonId>
+    waitingRouters;          ///< Routers that get a reply when the artifact is loaded or refused.
+  TimePoint deadline{};              ///< Demands with earlier deadlines are served first.
+  TimePoint expiresAt{};             ///< Dropped at this time unless a router repeats its demand.
+  std::uint32_t waiting = 0; ///< Largest number of waiting requests that one message has stated.
 };
 
 /* A router's request to run a suspect alone on a runner. A suspect may have crashed a runner. */
-struct IsolationWait
+struct IsolationRequest
 {
   RequestId request;
   Incarnation owner;
@@ -101,17 +104,17 @@
 /* A runner reserved for one suspect. No other request may run there. */
 struct Isolation
 {
-  IsolationWait wait;
+  IsolationRequest isolationRequest;
   EndpointId runner;
-  bool isGranted = false; ///< All routers have stopped using the runner.
-  TimePoint until{};      ///< End of the grant. Unset before it.
-  TimePoint nextDrain{};  ///< When drain messages to the remaining routers are due.
+  bool isGranted = false;  ///< All routers have stopped using the runner.
+  TimePoint until{};       ///< End of the grant. Unset before it.
+  TimePoint nextDrainAt{}; ///< When drain messages to the remaining routers are due.
 };
 
 /* The state of a cell's lease as seen by this daemon. */
 enum class LeasePhase : std::uint8_t
 {
-  kWatching, ///< Not held by this daemon.
+  kNotHeld, ///< Not held by this daemon.
   kAcquiring,
   kHeld,
 };
@@ -145,31 +148,31 @@
                           const View& aView,
                           const IsolationReleaseMessage& aRelease);
   /* Steps down if the order belongs to a replica of this cell, as a newer holder has adopted it. */
-  void OnWithdraw(Context& aContext, const OrderId& aOrder);
+  void OnWithdrawOrder(Context& aContext, const OrderId& aOrder);
   /* Removes the holder from the lease row and tells waiting routers that this daemon is not the
    * holder. Does nothing while the lease is not held or a lease transaction is in flight. */
-  void HandOver(Context& aContext, const View& aView);
+  void ReleaseLease(Context& aContext, const View& aView);
 
-  bool IsHeld() const { return mPhase == LeasePhase::kHeld; }
+  bool HoldsLease() const { return mPhase == LeasePhase::kHeld; }
   /* Returns whether the lease is neither held nor being acquired. */
-  bool IsIdle() const { return mPhase == LeasePhase::kWatching && mLeaseChange.empty(); }
+  bool IsIdle() const { return mPhase == LeasePhase::kNotHeld && mLeaseChange.empty(); }
   void Dump(std::vector<DumpEntry>& aOut) const;
 
 private:
   // cell_lease.cpp
-  void Watch(Context& aContext, const View& aView);
-  void OnRows(Context& aContext, const View& aView, const Row& aLease, const Row& aPlacement);
-  void Acquire(Context& aContext);
-  void Renew(Context& aContext);
-  void BeginTenure(Context& aContext, const View& aView, const PlacementRow& aPlacement);
+  void WatchLease(Context& aContext, const View& aView);
+  void OnRowsRead(Context& aContext, const View& aView, const Row& aLease, const Row& aPlacement);
+  void AcquireLease(Context& aContext);
+  void RenewLease(Context& aContext);
+  void BeginLeaseTerm(Context& aContext, const View& aView, const PlacementRow& aPlacement);
   void StepDown(Context& aContext);
-  void ReadRows(Context& aContext);
+  void ReadLeaseAndPlacement(Context& aContext);
   /* Returns whether the lease lasts longer than an order sent now can take to arrive. */
-  bool IsLeaseSafe(const Context& aContext) const;
+  bool LeaseCoversOrderDelivery(const Context& aContext) const;
 
   // cell_placement.cpp
   /* Returns whether the runners of the cell accept orders without checking the fencing token. */
-  bool IsUnchecked(const View& aView) const;
+  bool AreOrdersUnchecked(const View& aView) const;
   /* Returns whether the runner is among the few that may load the model while the table is down. */
   bool IsCandidate(const Context& aContext,
                    const View& aView,
@@ -179,58 +182,58 @@
   std::uint32_t CountReplicas(const Context& aContext,
                               const View& aView,
                               const ModelId& aModel) const;
-  /* Returns the memory left for aFor, after all replicas and the plans for other models. */
+  /* Returns the memory left for aPlacedModel, after all replicas and the plans for other models. */
   MemoryMb FreeMemory(const Context& aContext,
                       const View& aView,
                       const Runner& aRunner,
-                      const ModelId& aFor) const;
+                      const ModelId& aPlacedModel) const;
   /* Decides to load the model on the best runner with enough free memory. Returns false if none. */
-  bool TryPlace(Context& aContext, const View& aView, const ModelSpec& aModel);
+  bool TryPlaceReplica(Context& aContext, const View& aView, const ModelSpec& aModel);
   /* Starts draining idle replicas of one runner to free memory for the model. Returns whether a
    * runner is or was already chosen. */
-  bool TryEvict(Context& aContext, const View& aView, const ModelSpec& aModel);
+  bool TryFreeMemory(Context& aContext, const View& aView, const ModelSpec& aModel);
   void StartDrain(Context& aContext, const View& aView, Runner& aRunner, Replica& aReplica);
   /* Makes an inventory due, and disregards older ones as evidence that the replica is idle. */
-  static void NoteUnused(const Context& aContext, Runner& aRunner, Replica& aReplica);
+  static void RequestIdleCheck(const Context& aContext, Runner& aRunner, Replica& aReplica);
   /* Repeats drain messages, and decides on the unload of replicas that have no request left. */
   void ContinueDrains(Context& aContext, const View& aView);
   /* Drains replicas that the keep-alive policy no longer retains. */
-  void UnloadIdle(Context& aContext, const View& aView);
-  void PreloadExpected(Context& aContext, const View& aView);
-  void NoteUse(const Context& aContext, const DemandMessage& aDemand);
+  void DrainIdleReplicas(Context& aContext, const View& aView);
+  void PreloadPredictedModels(Context& aContext, const View& aView);
+  void RecordUse(const Context& aContext, const DemandMessage& aDemand);
 
   // replica_count_policy.cpp
   /* Returns the target number of replicas. */
-  std::uint32_t DecidedReplicas(const ModelId& aModel) const;
+  std::uint32_t TargetReplicas(const ModelId& aModel) const;
   /* Returns whether no replica of the model is loading, draining or unloading. */
-  bool AreAllLoaded(const ModelId& aModel) const;
+  bool AreAllReplicasLoaded(const ModelId& aModel) const;
   void UpdateReplicaCounts(Context& aContext, const View& aView);
   /* Loads each adapter that one replica of the model has on the others, one order at a time. */
-  void LoadSharedAdapters(Context& aContext, const View& aView, const ModelId& aModel);
+  void ReplicateAdapters(Context& aContext, const View& aView, const ModelId& aModel);
   void AddReplica(Context& aContext, const View& aView, const ModelSpec& aModel);
   /* Drains the unloadable replica of the model whose runner reports the highest load. */
-  void GiveUpReplica(Context& aContext, const View& aView, const ModelId& aModel);
+  void DrainSurplusReplica(Context& aContext, const View& aView, const ModelId& aModel);
   void WritePlacement(Context& aContext);
   PlacementRow MakePlacementRow(Context& aContext) const;
   /* Returns how long a router may use a location, as measured by this daemon's clock. It exceeds
    * the replica lifetime by a quarter, because the router's clock may run slower. */
-  static Duration UseLimit(const Context& aContext);
-  void Remove(Runner& aRunner, const ModelId& aModel);
+  static Duration LocationValidity(const Context& aContext);
+  void RemoveReplica(Runner& aRunner, const ModelId& aModel);
 
   // cell_order.cpp
   /* Requests the inventories that are due, and drops runners that the host list no longer has. */
   void SyncRunners(Context& aContext, const View& aView);
   void SendOrders(Context& aContext, const View& aView);
   /* Returns whether the replica's order may be sent, given the lease and the written placement. */
-  bool MaySend(const Context& aContext,
-               const View& aView,
-               const Runner& aRunner,
-               const Replica& aReplica) const;
+  bool MaySendOrder(const Context& aContext,
+                    const View& aView,
+                    const Runner& aRunner,
+                    const Replica& aReplica) const;
   /* Returns whether the last inventory shows no request on the replica and is recent enough. */
-  static bool IsSeenQuiet(const Runner& aRunner, const Replica& aReplica);
+  static bool InventoryShowsIdle(const Runner& aRunner, const Replica& aReplica);
   /* Requests a final inventory on the first call. Later calls return whether it shows no
    * request. */
-  static bool IsQuiet(Context& aContext, Runner& aRunner, Replica& aReplica);
+  static bool ConfirmIdle(Context& aContext, Runner& aRunner, Replica& aReplica);
   /* Updates the replicas of a runner from its inventory. */
   void Reconcile(Context& aContext,
                  const View& aView,
@@ -246,7 +249,7 @@
                       Replica& aReplica,
                       const OrderResult& aResult);
   /* Ends reservations whose issuer is dead, and asks the other issuers to withdraw their orders. */
-  void ReleaseReserved(Context& aContext, const View& aView);
+  void ReleaseReservations(Context& aContext, const View& aView);
 
   // cell_demand.cpp
   void ServeDemands(Context& aContext, const View& aView);
@@ -254,69 +257,71 @@
    * bucket is empty. */
   bool TakeLoadToken(const Context& aContext, const ServiceSpec& aService);
   std::uint32_t LoadsInFlight() const;
-  std::uint32_t AdaptersInFlight() const;
+  std::uint32_t AdapterLoadsInFlight() const;
   /* Orders the adapter on the first replica of its model that lacks it. */
   void LoadAdapter(Context& aContext, const View& aView, const Artifact& aArtifact);
   /* Permits the router to use the replicas that have the artifact, and returns their locations. */
-  std::vector<ReplicaLocation> Grant(Context& aContext,
-                                     const View& aView,
-                                     const Artifact& aArtifact,
-                                     const DaemonId& aRouter);
-  void ReplyReady(Context& aContext, const View& aView, const Artifact& aArtifact);
-  void Reply(Context& aContext,
-             const View& aView,
-             const DaemonId& aTo,
-             DemandReplyMessage aReply) const;
+  std::vector<ReplicaLocation> GrantLocations(Context& aContext,
+                                              const View& aView,
+                                              const Artifact& aArtifact,
+                                              const DaemonId& aRouter);
+  void SendReadyReplies(Context& aContext, const View& aView, const Artifact& aArtifact);
+  void SendDemandReply(Context& aContext,
+                       const View& aView,
+                       const DaemonId& aTo,
+                       DemandReplyMessage aReply) const;
   /* Returns whether a loaded replica of the model has the adapter, if any is named. */
-  bool IsReady(const Artifact& aArtifact) const;
+  bool IsArtifactLoaded(const Artifact& aArtifact) const;
   /* Returns the service of this cell, or nullptr when it is not in the configuration. */
-  const ServiceSpec* Service(const View& aView) const;
+  const ServiceSpec* FindServiceSpec(const View& aView) const;
 
   // cell_isolation.cpp
   void ServeIsolation(Context& aContext, const View& aView);
   void ExpireIsolation(const Context& aContext, const View& aView);
   void StartIsolation(const Context& aContext, const View& aView);
-  void DrainIsolated(Context& aContext, const View& aView);
+  void DrainIsolatedRunner(Context& aContext, const View& aView);
   void SendIsolationGrant(Context& aContext,
                           const View& aView,
-                          const IsolationWait& aWait,
+                          const IsolationRequest& aIsolationRequest,
                           IsolationStatus aStatus) const;
   bool IsIsolated(const EndpointId& aRunner) const;
 
   CellId mId;
-  LeasePhase mPhase = LeasePhase::kWatching;
+  LeasePhase mPhase = LeasePhase::kNotHeld;
   Incarnation mHolder; ///< As last read, or this daemon.
   Fence mFence;
   std::uint64_t mRenewals = 0;
   RowVersion mLeaseVersion;
   RowVersion mPlacementVersion;
-  PlacementRow mSeenPlacement; ///< As last read while the lease was not held.
-  TimePoint mSeenSince{};      ///< When this version of the lease row was first read.
-  TimePoint mLeaseUntil{};     ///< This daemon certainly holds the lease before this time.
-  TimePoint mLeaseSentAt{};    ///< When the last acquisition or renewal was sent.
-  ChangeId mLeaseChange;       ///< The lease transaction in flight, or empty.
-  ChangeId mPlacementChange;   ///< The placement transaction in flight, or empty.
-  ChangeId mRead;              ///< The read in flight, or empty.
-  bool mIsReleasing = false;   ///< The lease transaction in flight gives the lease up.
-  bool mIsSeen = false;        ///< The lease row was read since this daemon last stepped down.
-  bool mIsDirty = false;       ///< The placement row has to be written.
-  bool mIsTableUp = true;      ///< The last table call of this cell got an answer.
-  std::set<OrderId> mWriting;  ///< Orders in the placement transaction in flight.
+  PlacementRow mLastReadPlacement; ///< As last read while the lease was not held.
+  TimePoint mLeaseVersionReadAt{}; ///< When this version of the lease row was first read.
+  TimePoint mLeaseValidUntil{};    ///< This daemon certainly holds the lease before this time.
+  TimePoint mLeaseChangeSentAt{};  ///< When the last acquisition or renewal was sent.
+  ChangeId mLeaseChange;           ///< The lease transaction in flight, or empty.
+  ChangeId mPlacementChange;       ///< The placement transaction in flight, or empty.
+  ChangeId mReadInFlight;          ///< The read in flight, or empty.
+  bool mIsReleasingLease = false;  ///< The lease transaction in flight gives the lease up.
+  bool mIsLeaseRead = false;       ///< The lease row was read since this daemon last stepped down.
+  bool mIsPlacementDirty = false;  ///< The placement row has to be written.
+  bool mIsTableReachable = true;   ///< The last table call of this cell got an answer.
+  std::set<OrderId> mOrdersBeingWritten; ///< Orders in the placement transaction in flight.
   TimePoint mNextLeaseAction{};
   TimePoint mNextPlacementWrite{};
-  TimePoint mNextKeepAlive{};
-  TimePoint mNextPreload{};
+  TimePoint mNextKeepAliveCheck{};
+  TimePoint mNextPreloadCheck{};
   TimePoint mNextCountUpdate{};
   std::map<EndpointId, Runner> mRunners;
   std::map<Artifact, PendingDemand> mDemands;
-  std::map<ModelId, EndpointId> mPlanned; ///< Model to the runner where memory is freed for it.
-  std::map<ModelId, ModelUsage> mUsage;
-  std::deque<IsolationWait> mIsolationWaits;
+  std::map<ModelId, EndpointId>
+    mPlannedRunners; ///< Model to the runner where memory is freed for it.
+  std::map<ModelId, ModelUsage> mModelUsage;
+  std::deque<IsolationRequest> mQueuedIsolations;
   std::optional<Isolation> mIsolation;
-  std::map<ModelId, ReplicaCount> mCounts; ///< Only of models that may have several replicas.
-  IdleHistogram mCellIdleTimes;            ///< Idle times of all models of the cell.
-  double mLoadTokens = 1.0;                ///< Tokens left in the bucket that limits loads.
-  TimePoint mLoadTokensAt{};
+  std::map<ModelId, ReplicaCountPolicy>
+    mReplicaCountPolicies;      ///< Only of models that may have several replicas.
+  IdleHistogram mCellIdleTimes; ///< Idle times of all models of the cell.
+  double mLoadTokens = 1.0;     ///< Tokens left in the bucket that limits loads.
+  TimePoint mLoadTokensUpdatedAt{};
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/scheduler/cell_demand.cpp
+++ b/src/decision/scheduler/cell_demand.cpp
@@ -12,11 +12,11 @@
 constexpr Duration kDemandLifetime = 3s;
 /* Delay after which a refused router may repeat its demand. It is fixed, as no better estimate
  * exists. */
-constexpr Duration kRefusalPause = 2s;
+constexpr Duration kRefusalRetryDelay = 2s;
 
 } // namespace
 
-bool Cell::IsReady(const Artifact& aArtifact) const
+bool Cell::IsArtifactLoaded(const Artifact& aArtifact) const
 {
   for (const auto& [id, runner] : mRunners) {
     const auto found = runner.replicas.find(aArtifact.model);
@@ -30,10 +30,10 @@
   return false;
 }
 
-void Cell::Reply(Context& aContext,
-                 const View& aView,
-                 const DaemonId& aTo,
-                 DemandReplyMessage aReply) const
+void Cell::SendDemandReply(Context& aContext,
+                           const View& aView,
+                           const DaemonId& aTo,
+                           DemandReplyMessage aReply) const
 {
   aReply.fence = mFence;
   if (aTo == aContext.self().daemon) {
@@ -43,9 +43,9 @@
   aView.SendTo(aContext, aTo, std::move(aReply));
 }
 
-void Cell::NoteUse(const Context& aContext, const DemandMessage& aDemand)
+void Cell::RecordUse(const Context& aContext, const DemandMessage& aDemand)
 {
-  ModelUsage& usage = mUsage[aDemand.artifact.model];
+  ModelUsage& usage = mModelUsage[aDemand.artifact.model];
   const Duration idle = aContext.now() - usage.lastUsed;
   // Routers report the use of a model at shorter intervals than this, so after a shorter gap
   // between reports the model may not have been idle.
@@ -69,81 +69,83 @@
                     const DaemonId& aFrom,
                     const DemandMessage& aDemand)
 {
-  const bool isNeeded = aDemand.waiting > 0;
+  const bool hasWaitingRequests = aDemand.waiting > 0;
   if (mPhase != LeasePhase::kHeld) {
-    if (isNeeded) {
+    if (hasWaitingRequests) {
       PendingDemand& demand = mDemands[aDemand.artifact];
       demand.expiresAt = aContext.now() + kDemandLifetime;
       demand.deadline = aContext.now() + aDemand.timeLeft;
-      demand.waiters.insert(aFrom);
+      demand.waitingRouters.insert(aFrom);
     }
-    Reply(aContext,
-          aView,
-          aFrom,
-          { .cell = mId,
-            .artifact = aDemand.artifact,
-            .status = DemandStatus::kNotHolder,
-            .holder = mHolder.daemon == aContext.self().daemon ? DaemonId{} : mHolder.daemon });
+    SendDemandReply(
+      aContext,
+      aView,
+      aFrom,
+      { .cell = mId,
+        .artifact = aDemand.artifact,
+        .status = DemandStatus::kNotHolder,
+        .holder = mHolder.daemon == aContext.self().daemon ? DaemonId{} : mHolder.daemon });
     return;
   }
   const auto spec = aView.configuration().models.find(aDemand.artifact.model);
   if (spec == aView.configuration().models.end()) {
-    Reply(aContext,
-          aView,
-          aFrom,
-          { .cell = mId,
-            .artifact = aDemand.artifact,
-            .status = DemandStatus::kRefused,
-            .refusal = ResultCode::kModelUnknown });
+    SendDemandReply(aContext,
+                    aView,
+                    aFrom,
+                    { .cell = mId,
+                      .artifact = aDemand.artifact,
+                      .status = DemandStatus::kRefused,
+                      .refusal = ResultCode::kModelUnknown });
     return;
   }
-  if (isNeeded || aDemand.startedSince > 0 || aDemand.inFlight > 0) {
-    NoteUse(aContext, aDemand);
+  if (hasWaitingRequests || aDemand.startedSince > 0 || aDemand.inFlight > 0) {
+    RecordUse(aContext, aDemand);
     if (spec->second.maxReplicas > 1) {
-      mCounts[aDemand.artifact.model].Report(aFrom,
-                                             aDemand.artifact.adapter,
-                                             aDemand.waiting + aDemand.inFlight,
-                                             aContext.now() + aContext.settings().replicaLifetime);
+      mReplicaCountPolicies[aDemand.artifact.model].RecordRequests(
+        aFrom,
+        aDemand.artifact.adapter,
+        aDemand.waiting + aDemand.inFlight,
+        aContext.now() + aContext.settings().replicaLifetime);
     }
   }
-  if (IsReady(aDemand.artifact)) {
-    Reply(aContext,
-          aView,
-          aFrom,
-          { .cell = mId,
-            .artifact = aDemand.artifact,
-            .status = DemandStatus::kReady,
-            .replicas = Grant(aContext, aView, aDemand.artifact, aFrom) });
+  if (IsArtifactLoaded(aDemand.artifact)) {
+    SendDemandReply(aContext,
+                    aView,
+                    aFrom,
+                    { .cell = mId,
+                      .artifact = aDemand.artifact,
+                      .status = DemandStatus::kReady,
+                      .replicas = GrantLocations(aContext, aView, aDemand.artifact, aFrom) });
     return;
   }
-  if (!isNeeded) {
+  if (!hasWaitingRequests) {
     return;
   }
   PendingDemand& demand = mDemands[aDemand.artifact];
   const TimePoint deadline = aContext.now() + aDemand.timeLeft;
-  demand.deadline = demand.waiters.empty() ? deadline : std::min(demand.deadline, deadline);
+  demand.deadline = demand.waitingRouters.empty() ? deadline : std::min(demand.deadline, deadline);
   demand.expiresAt = aContext.now() + kDemandLifetime;
   demand.waiting = std::max(demand.waiting, aDemand.waiting);
-  demand.waiters.insert(aFrom);
+  demand.waitingRouters.insert(aFrom);
   OnWake(aContext, aView);
   if (mDemands.contains(aDemand.artifact)) {
-    Reply(aContext,
-          aView,
-          aFrom,
-          { .cell = mId,
-            .artifact = aDemand.artifact,
-            .status = DemandStatus::kLoading,
-            .expectedWait = spec->second.expectedLoad });
+    SendDemandReply(aContext,
+                    aView,
+                    aFrom,
+                    { .cell = mId,
+                      .artifact = aDemand.artifact,
+                      .status = DemandStatus::kLoading,
+                      .expectedWait = spec->second.expectedLoad });
   }
 }
 
-std::vector<ReplicaLocation> Cell::Grant(Context& aContext,
-                                         const View& aView,
-                                         const Artifact& aArtifact,
-                                         const DaemonId& aRouter)
+std::vector<ReplicaLocation> Cell::GrantLocations(Context& aContext,
+                                                  const View& aView,
+                                                  const Artifact& aArtifact,
+                                                  const DaemonId& aRouter)
 {
   std::vector<ReplicaLocation> locations;
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   for (auto& [id, runner] : mRunners) {
     const auto found = runner.replicas.find(aArtifact.model);
     if (found == runner.replicas.end() || found->second.phase != ReplicaPhase::kLoaded ||
@@ -154,30 +156,30 @@
     if (!aArtifact.adapter.empty() && !replica.adapters.contains(aArtifact.adapter)) {
       continue;
     }
-    replica.users[aRouter] = aContext.now() + UseLimit(aContext);
-    const auto sharers = static_cast<std::uint32_t>(replica.users.size());
-    const std::uint32_t share = std::max(1U, service->endpointConcurrency / sharers);
-    locations.push_back({ id, share, runner.reportedLoad });
+    replica.permittedRouters[aRouter] = aContext.now() + LocationValidity(aContext);
+    const auto routerCount = static_cast<std::uint32_t>(replica.permittedRouters.size());
+    const std::uint32_t concurrencyShare = std::max(1U, service->endpointConcurrency / routerCount);
+    locations.push_back({ id, concurrencyShare, runner.reportedLoad });
   }
   return locations;
 }
 
-void Cell::ReplyReady(Context& aContext, const View& aView, const Artifact& aArtifact)
+void Cell::SendReadyReplies(Context& aContext, const View& aView, const Artifact& aArtifact)
 {
   const auto found = mDemands.find(aArtifact);
-  if (found == mDemands.end() || !IsReady(aArtifact)) {
+  if (found == mDemands.end() || !IsArtifactLoaded(aArtifact)) {
     return;
   }
-  const std::set<DaemonId> waiters = std::move(found->second.waiters);
+  const std::set<DaemonId> waitingRouters = std::move(found->second.waitingRouters);
   mDemands.erase(found);
-  for (const DaemonId& waiter : waiters) {
-    Reply(aContext,
-          aView,
-          waiter,
-          { .cell = mId,
-            .artifact = aArtifact,
-            .status = DemandStatus::kReady,
-            .replicas = Grant(aContext, aView, aArtifact, waiter) });
+  for (const DaemonId& waitingRouter : waitingRouters) {
+    SendDemandReply(aContext,
+                    aView,
+                    waitingRouter,
+                    { .cell = mId,
+                      .artifact = aArtifact,
+                      .status = DemandStatus::kReady,
+                      .replicas = GrantLocations(aContext, aView, aArtifact, waitingRouter) });
   }
 }
 
@@ -194,12 +196,12 @@
   return loads;
 }
 
-std::uint32_t Cell::AdaptersInFlight() const
+std::uint32_t Cell::AdapterLoadsInFlight() const
 {
   std::size_t loads = 0;
   for (const auto& [id, runner] : mRunners) {
     for (const auto& [model, replica] : runner.replicas) {
-      loads += replica.adaptersLoading.size();
+      loads += replica.adapterRetryAt.size();
     }
   }
   return static_cast<std::uint32_t>(loads);
@@ -207,10 +209,11 @@
 
 bool Cell::TakeLoadToken(const Context& aContext, const ServiceSpec& aService)
 {
-  const double elapsed = std::chrono::duration<double>(aContext.now() - mLoadTokensAt).count();
+  const double elapsed =
+    std::chrono::duration<double>(aContext.now() - mLoadTokensUpdatedAt).count();
   const double burst = std::max(1.0, static_cast<double>(aService.store.concurrentLoads));
   mLoadTokens = std::min(burst, mLoadTokens + elapsed * aService.store.loadsPerSecond);
-  mLoadTokensAt = aContext.now();
+  mLoadTokensUpdatedAt = aContext.now();
   if (mLoadTokens < 1.0) {
     return false;
   }
@@ -220,7 +223,7 @@
 
 void Cell::LoadAdapter(Context& aContext, const View& aView, const Artifact& aArtifact)
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   for (auto& [id, runner] : mRunners) {
     const auto found = runner.replicas.find(aArtifact.model);
     if (found == runner.replicas.end() || found->second.phase != ReplicaPhase::kLoaded) {
@@ -230,17 +233,18 @@
     if (replica.adapters.contains(aArtifact.adapter)) {
       continue;
     }
-    const auto loading = replica.adaptersLoading.find(aArtifact.adapter);
-    if (loading != replica.adaptersLoading.end() && loading->second > aContext.now()) {
+    const auto loading = replica.adapterRetryAt.find(aArtifact.adapter);
+    if (loading != replica.adapterRetryAt.end() && loading->second > aContext.now()) {
       aContext.WakeBy(std::min(loading->second, aContext.now() + 1s));
       return;
     }
     const EndpointInfo* info = aView.FindEndpoint(id);
-    const bool isSendable = info != nullptr && (!IsUnchecked(aView) || IsLeaseSafe(aContext));
-    if (!isSendable || AdaptersInFlight() >= service->store.adaptersInTransit) {
+    const bool maySend =
+      info != nullptr && (!AreOrdersUnchecked(aView) || LeaseCoversOrderDelivery(aContext));
+    if (!maySend || AdapterLoadsInFlight() >= service->store.adaptersInTransit) {
       return;
     }
-    replica.adaptersLoading[aArtifact.adapter] = TimePoint::max();
+    replica.adapterRetryAt[aArtifact.adapter] = TimePoint::max();
     aContext.Emit(SendOrder{
       .cell = mId,
       .runner = id,
@@ -258,15 +262,16 @@
 
 void Cell::ServeDemands(Context& aContext, const View& aView)
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   if (service == nullptr) {
     return;
   }
   std::erase_if(mDemands,
                 [&](const auto& aItem) { return aItem.second.expiresAt <= aContext.now(); });
-  std::erase_if(mPlanned, [&](const auto& aItem) {
+  std::erase_if(mPlannedRunners, [&](const auto& aItem) {
     const auto runner = mRunners.find(aItem.second);
-    return runner == mRunners.end() || runner->second.reach != RunnerReach::kReached;
+    return runner == mRunners.end() ||
+           runner->second.reachability != RunnerReachability::kReachable;
   });
   std::vector<std::pair<TimePoint, Artifact>> byDeadline;
   for (const auto& [artifact, demand] : mDemands) {
@@ -275,51 +280,52 @@
   }
   std::sort(byDeadline.begin(), byDeadline.end());
   for (const auto& [deadline, artifact] : byDeadline) {
-    if (IsReady(artifact)) {
-      ReplyReady(aContext, aView, artifact);
+    if (IsArtifactLoaded(artifact)) {
+      SendReadyReplies(aContext, aView, artifact);
       continue;
     }
     const auto spec = aView.configuration().models.find(artifact.model);
     if (spec == aView.configuration().models.end()) {
       continue;
     }
-    if (IsReady({ artifact.model, {} })) {
+    if (IsArtifactLoaded({ artifact.model, {} })) {
       LoadAdapter(aContext, aView, artifact);
       continue;
     }
-    const bool isDecided =
-      CountReplicas(aContext, aView, artifact.model) >= DecidedReplicas(artifact.model);
-    if (isDecided && aContext.IsEnabled(Mechanism::kDemandMerging)) {
+    const bool hasEnoughReplicas =
+      CountReplicas(aContext, aView, artifact.model) >= TargetReplicas(artifact.model);
+    if (hasEnoughReplicas && aContext.IsEnabled(Mechanism::kDemandMerging)) {
       continue;
     }
     if (LoadsInFlight() >= service->store.concurrentLoads || !TakeLoadToken(aContext, *service)) {
       aContext.WakeBy(aContext.now() + 100ms);
       continue;
     }
-    if (TryPlace(aContext, aView, spec->second)) {
+    if (TryPlaceReplica(aContext, aView, spec->second)) {
       continue;
     }
     mLoadTokens += 1.0;
-    const bool isHopeless = !mIsTableUp && IsUnchecked(aView);
-    if (!isHopeless && TryEvict(aContext, aView, spec->second)) {
+    const bool isPlacementBlocked = !mIsTableReachable && AreOrdersUnchecked(aView);
+    if (!isPlacementBlocked && TryFreeMemory(aContext, aView, spec->second)) {
       aContext.WakeBy(aContext.now() + 100ms);
       continue;
     }
-    const bool isFull = deadline - aContext.now() < spec->second.expectedLoad;
-    if (!isHopeless && !isFull) {
+    const bool cannotLoadInTime = deadline - aContext.now() < spec->second.expectedLoad;
+    if (!isPlacementBlocked && !cannotLoadInTime) {
       aContext.WakeBy(aContext.now() + 100ms);
       continue;
     }
-    for (const DaemonId& waiter : mDemands[artifact].waiters) {
-      Reply(aContext,
-            aView,
-            waiter,
-            { .cell = mId,
-              .artifact = artifact,
-              .status = DemandStatus::kRefused,
-              .expectedWait = kRefusalPause,
-              .refusal = ResultCode::kReplicaUnavailable,
-              .refusesBelow = isHopeless ? Duration{} : spec->second.expectedLoad });
+    for (const DaemonId& waitingRouter : mDemands[artifact].waitingRouters) {
+      SendDemandReply(
+        aContext,
+        aView,
+        waitingRouter,
+        { .cell = mId,
+          .artifact = artifact,
+          .status = DemandStatus::kRefused,
+          .expectedWait = kRefusalRetryDelay,
+          .refusal = ResultCode::kReplicaUnavailable,
+          .refusesBelow = isPlacementBlocked ? Duration{} : spec->second.expectedLoad });
     }
     mDemands.erase(artifact);
   }
--- a/src/decision/scheduler/cell_isolation.cpp
+++ b/src/decision/scheduler/cell_isolation.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /* Maximum number of suspects that wait for a runner. Further ones are refused at once. */
-constexpr std::size_t kIsolationWaitLimit = 64;
+constexpr std::size_t kIsolationQueueLimit = 64;
 /* Time after which a waiting suspect is dropped unless its router repeats the request. */
-constexpr Duration kIsolationWaitLifetime = 3s;
+constexpr Duration kIsolationRequestLifetime = 3s;
 /* Maximum time for which a runner is granted to one suspect. */
-constexpr Duration kIsolationLimit = 60s;
+constexpr Duration kIsolationGrantLimit = 60s;
 /* Interval at which a drain message is repeated to a router that has not answered it. */
-constexpr Duration kIsolationDrainRepeat = 1s;
+constexpr Duration kIsolationDrainRepeatInterval = 1s;
 
 } // namespace
 
@@ -25,22 +25,23 @@
 
 void Cell::SendIsolationGrant(Context& aContext,
                               const View& aView,
-                              const IsolationWait& aWait,
+                              const IsolationRequest& aIsolationRequest,
                               IsolationStatus aStatus) const
 {
-  IsolationGrantMessage grant{
-    .cell = mId, .request = aWait.request, .ask = aWait.ask, .status = aStatus
-  };
+  IsolationGrantMessage grant{ .cell = mId,
+                               .request = aIsolationRequest.request,
+                               .ask = aIsolationRequest.ask,
+                               .status = aStatus };
   if (aStatus == IsolationStatus::kGranted) {
     grant.runner = mIsolation->runner;
     grant.validFor = mIsolation->until - aContext.now();
   } else if (aStatus == IsolationStatus::kNotHolder && mHolder != aContext.self()) {
     grant.holder = mHolder.daemon;
   }
-  if (aWait.owner.daemon == aContext.self().daemon) {
-    aContext.Emit(SendMessage{ aWait.owner.daemon, {}, std::move(grant) });
+  if (aIsolationRequest.owner.daemon == aContext.self().daemon) {
+    aContext.Emit(SendMessage{ aIsolationRequest.owner.daemon, {}, std::move(grant) });
   } else {
-    aView.SendTo(aContext, aWait.owner.daemon, std::move(grant));
+    aView.SendTo(aContext, aIsolationRequest.owner.daemon, std::move(grant));
   }
 }
 
@@ -49,47 +50,55 @@
                               const Incarnation& aFrom,
                               const IsolationRequestMessage& aRequest)
 {
-  const IsolationWait wait{ .request = aRequest.request,
-                            .owner = aFrom,
-                            .artifact = aRequest.artifact,
-                            .ask = aRequest.ask,
-                            .deadline = aContext.now() + aRequest.timeLeft,
-                            .expiresAt = aContext.now() + kIsolationWaitLifetime };
+  const IsolationRequest isolationRequest{ .request = aRequest.request,
+                                           .owner = aFrom,
+                                           .artifact = aRequest.artifact,
+                                           .ask = aRequest.ask,
+                                           .deadline = aContext.now() + aRequest.timeLeft,
+                                           .expiresAt =
+                                             aContext.now() + kIsolationRequestLifetime };
   if (mPhase != LeasePhase::kHeld) {
-    SendIsolationGrant(aContext, aView, wait, IsolationStatus::kNotHolder);
+    SendIsolationGrant(aContext, aView, isolationRequest, IsolationStatus::kNotHolder);
     return;
   }
-  const auto isSame = [&](const IsolationWait& aWait) { return aWait.request == wait.request; };
-  const auto known = std::find_if(mIsolationWaits.begin(), mIsolationWaits.end(), isSame);
-  if (mIsolation && isSame(mIsolation->wait)) {
-    mIsolation->wait = wait;
-  } else if (known != mIsolationWaits.end()) {
-    *known = wait;
-  } else if (mIsolationWaits.size() >= kIsolationWaitLimit) {
-    SendIsolationGrant(aContext, aView, wait, IsolationStatus::kRefused);
+  const auto isSameRequest = [&](const IsolationRequest& aIsolationRequest) {
+    return aIsolationRequest.request == isolationRequest.request;
+  };
+  const auto queued =
+    std::find_if(mQueuedIsolations.begin(), mQueuedIsolations.end(), isSameRequest);
+  if (mIsolation && isSameRequest(mIsolation->isolationRequest)) {
+    mIsolation->isolationRequest = isolationRequest;
+  } else if (queued != mQueuedIsolations.end()) {
+    *queued = isolationRequest;
+  } else if (mQueuedIsolations.size() >= kIsolationQueueLimit) {
+    SendIsolationGrant(aContext, aView, isolationRequest, IsolationStatus::kRefused);
     return;
   } else {
-    mIsolationWaits.push_back(wait);
+    mQueuedIsolations.push_back(isolationRequest);
   }
-  if (!IsReady(wait.artifact)) {
-    PendingDemand& demand = mDemands[wait.artifact];
-    demand.waiters.insert(aFrom.daemon);
-    demand.deadline = wait.deadline;
-    demand.expiresAt = wait.expiresAt;
+  if (!IsArtifactLoaded(isolationRequest.artifact)) {
+    PendingDemand& demand = mDemands[isolationRequest.artifact];
+    demand.waitingRouters.insert(aFrom.daemon);
+    demand.deadline = isolationRequest.deadline;
+    demand.expiresAt = isolationRequest.expiresAt;
   }
   ServeIsolation(aContext, aView);
-  const bool isGranted = mIsolation && isSame(mIsolation->wait) && mIsolation->isGranted;
-  SendIsolationGrant(
-    aContext, aView, wait, isGranted ? IsolationStatus::kGranted : IsolationStatus::kWaiting);
+  const bool isGranted =
+    mIsolation && isSameRequest(mIsolation->isolationRequest) && mIsolation->isGranted;
+  SendIsolationGrant(aContext,
+                     aView,
+                     isolationRequest,
+                     isGranted ? IsolationStatus::kGranted : IsolationStatus::kWaiting);
 }
 
 void Cell::OnIsolationRelease(Context& aContext,
                               const View& aView,
                               const IsolationReleaseMessage& aRelease)
 {
-  std::erase_if(mIsolationWaits,
-                [&](const IsolationWait& aWait) { return aWait.request == aRelease.request; });
-  if (mIsolation && mIsolation->wait.request == aRelease.request) {
+  std::erase_if(mQueuedIsolations, [&](const IsolationRequest& aIsolationRequest) {
+    return aIsolationRequest.request == aRelease.request;
+  });
+  if (mIsolation && mIsolation->isolationRequest.request == aRelease.request) {
     mIsolation.reset();
     ServeIsolation(aContext, aView);
   }
@@ -97,17 +106,19 @@
 
 void Cell::ExpireIsolation(const Context& aContext, const View& aView)
 {
-  const auto isOver = [&](const IsolationWait& aWait) {
-    return aWait.owner != aContext.self() && aView.IsProvenDead(aContext, aWait.owner);
+  const auto isOwnerDead = [&](const IsolationRequest& aIsolationRequest) {
+    return aIsolationRequest.owner != aContext.self() &&
+           aView.IsProvenDead(aContext, aIsolationRequest.owner);
   };
-  std::erase_if(mIsolationWaits, [&](const IsolationWait& aWait) {
-    return isOver(aWait) || aWait.expiresAt <= aContext.now();
+  std::erase_if(mQueuedIsolations, [&](const IsolationRequest& aIsolationRequest) {
+    return isOwnerDead(aIsolationRequest) || aIsolationRequest.expiresAt <= aContext.now();
   });
   if (!mIsolation) {
     return;
   }
-  const TimePoint until = mIsolation->isGranted ? mIsolation->until : mIsolation->wait.expiresAt;
-  if (isOver(mIsolation->wait) || until <= aContext.now() ||
+  const TimePoint until =
+    mIsolation->isGranted ? mIsolation->until : mIsolation->isolationRequest.expiresAt;
+  if (isOwnerDead(mIsolation->isolationRequest) || until <= aContext.now() ||
       !mRunners.contains(mIsolation->runner)) {
     mIsolation.reset();
   }
@@ -115,55 +126,60 @@
 
 void Cell::StartIsolation(const Context& aContext, const View& aView)
 {
-  for (auto wait = mIsolationWaits.begin(); wait != mIsolationWaits.end(); ++wait) {
+  for (auto isolationRequest = mQueuedIsolations.begin();
+       isolationRequest != mQueuedIsolations.end();
+       ++isolationRequest) {
     for (const auto& [id, runner] : mRunners) {
-      const auto found = runner.replicas.find(wait->artifact.model);
+      const auto found = runner.replicas.find(isolationRequest->artifact.model);
       if (found == runner.replicas.end() || !aView.IsUsable(id, aContext.now())) {
         continue;
       }
       const std::set<AdapterId>& adapters = found->second.adapters;
-      const bool hasAdapter =
-        wait->artifact.adapter.empty() || adapters.contains(wait->artifact.adapter);
+      const bool hasAdapter = isolationRequest->artifact.adapter.empty() ||
+                              adapters.contains(isolationRequest->artifact.adapter);
       // A former holder may have sent the location of a replica to routers that are unknown here.
       // They may use it until unloadableFrom.
-      const bool isKnown =
+      const bool areAllRoutersKnown =
         std::all_of(runner.replicas.begin(), runner.replicas.end(), [&](const auto& aItem) {
           return aItem.second.unloadableFrom <= aContext.now();
         });
-      if (found->second.phase == ReplicaPhase::kLoaded && hasAdapter && isKnown) {
-        mIsolation = Isolation{ .wait = *wait, .runner = id };
-        mIsolationWaits.erase(wait);
+      if (found->second.phase == ReplicaPhase::kLoaded && hasAdapter && areAllRoutersKnown) {
+        mIsolation = Isolation{ .isolationRequest = *isolationRequest, .runner = id };
+        mQueuedIsolations.erase(isolationRequest);
         return;
       }
     }
   }
 }
 
-void Cell::DrainIsolated(Context& aContext, const View& aView)
+void Cell::DrainIsolatedRunner(Context& aContext, const View& aView)
 {
-  const bool isDrainDue = mIsolation->nextDrain <= aContext.now();
-  bool isFree = true;
+  const bool isDrainDue = mIsolation->nextDrainAt <= aContext.now();
+  bool isDrained = true;
   for (auto& [model, replica] : mRunners.at(mIsolation->runner).replicas) {
     replica.lastUsed = aContext.now(); // Prevents an unload during the isolation.
-    std::erase_if(replica.users, [&](const auto& aUser) { return aUser.second <= aContext.now(); });
-    isFree = isFree && replica.users.empty();
-    for (const auto& [user, until] : replica.users) {
+    std::erase_if(replica.permittedRouters, [&](const auto& aRouterPermission) {
+      return aRouterPermission.second <= aContext.now();
+    });
+    isDrained = isDrained && replica.permittedRouters.empty();
+    for (const auto& [router, until] : replica.permittedRouters) {
       const DrainMessage drain{ mId, mIsolation->runner, model, mFence };
-      if (isDrainDue && user == aContext.self().daemon) {
-        aContext.Emit(SendMessage{ user, {}, drain });
+      if (isDrainDue && router == aContext.self().daemon) {
+        aContext.Emit(SendMessage{ router, {}, drain });
       } else if (isDrainDue) {
-        aView.SendTo(aContext, user, drain);
+        aView.SendTo(aContext, router, drain);
       }
     }
   }
   if (isDrainDue) {
-    mIsolation->nextDrain = aContext.now() + kIsolationDrainRepeat;
+    mIsolation->nextDrainAt = aContext.now() + kIsolationDrainRepeatInterval;
   }
-  aContext.WakeBy(mIsolation->nextDrain);
-  if (isFree && !mIsolation->isGranted) {
+  aContext.WakeBy(mIsolation->nextDrainAt);
+  if (isDrained && !mIsolation->isGranted) {
     mIsolation->isGranted = true;
-    mIsolation->until = std::min(mIsolation->wait.deadline, aContext.now() + kIsolationLimit);
-    SendIsolationGrant(aContext, aView, mIsolation->wait, IsolationStatus::kGranted);
+    mIsolation->until =
+      std::min(mIsolation->isolationRequest.deadline, aContext.now() + kIsolationGrantLimit);
+    SendIsolationGrant(aContext, aView, mIsolation->isolationRequest, IsolationStatus::kGranted);
   }
 }
 
@@ -174,7 +190,7 @@
     StartIsolation(aContext, aView);
   }
   if (mIsolation) {
-    DrainIsolated(aContext, aView);
+    DrainIsolatedRunner(aContext, aView);
   }
 }
 
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -11,7 +11,7 @@
 
 /* Number of daemons, the best ranked for the cell, that watch its lease in order to take it over.
  * Daemons with a pending demand for the cell watch it, too. */
-constexpr std::size_t kWatchers = 3;
+constexpr std::size_t kTakeoverCandidates = 3;
 
 } // namespace
 
@@ -23,78 +23,81 @@
 void Cell::OnWake(Context& aContext, const View& aView)
 {
   if (mPhase != LeasePhase::kHeld) {
-    Watch(aContext, aView);
+    WatchLease(aContext, aView);
     return;
   }
   if (mNextLeaseAction <= aContext.now()) {
-    Renew(aContext);
+    RenewLease(aContext);
   }
   aContext.WakeBy(mNextLeaseAction);
   SyncRunners(aContext, aView);
-  ReleaseReserved(aContext, aView);
-  UnloadIdle(aContext, aView);
+  ReleaseReservations(aContext, aView);
+  DrainIdleReplicas(aContext, aView);
   ContinueDrains(aContext, aView);
   ServeIsolation(aContext, aView);
   ServeDemands(aContext, aView);
   UpdateReplicaCounts(aContext, aView);
-  PreloadExpected(aContext, aView);
+  PreloadPredictedModels(aContext, aView);
   WritePlacement(aContext);
   SendOrders(aContext, aView);
 }
 
-void Cell::Watch(Context& aContext, const View& aView)
+void Cell::WatchLease(Context& aContext, const View& aView)
 {
   if (mPhase == LeasePhase::kAcquiring || aView.readiness() == Readiness::kStopping) {
     return;
   }
-  if (mDemands.empty() && !aView.IsAmongFirst(aContext, mId.str(), kWatchers)) {
+  if (mDemands.empty() && !aView.IsAmongFirst(aContext, mId.str(), kTakeoverCandidates)) {
     return;
   }
   std::erase_if(mDemands,
                 [&](const auto& aItem) { return aItem.second.expiresAt <= aContext.now(); });
-  if (mNextLeaseAction <= aContext.now() && mRead.empty()) {
-    ReadRows(aContext);
+  if (mNextLeaseAction <= aContext.now() && mReadInFlight.empty()) {
+    ReadLeaseAndPlacement(aContext);
     mNextLeaseAction = aContext.now() + aContext.settings().leaseRenewal / 2;
   }
-  if (mRead.empty() || mNextLeaseAction > aContext.now()) {
+  if (mReadInFlight.empty() || mNextLeaseAction > aContext.now()) {
     aContext.WakeBy(mNextLeaseAction);
   }
 }
 
-void Cell::ReadRows(Context& aContext)
+void Cell::ReadLeaseAndPlacement(Context& aContext)
 {
-  mRead = ChangeId{ aContext.NewName() };
-  aContext.Emit(TableRead{ mRead, { CellLeaseKey(mId), PlacementKey(mId) } });
+  mReadInFlight = ChangeId{ aContext.NewName() };
+  aContext.Emit(TableRead{ mReadInFlight, { CellLeaseKey(mId), PlacementKey(mId) } });
 }
 
 void Cell::OnReadResult(Context& aContext, const View& aView, const ReadResult& aResult)
 {
-  if (aResult.read != mRead || mRead.empty()) {
+  if (aResult.read != mReadInFlight || mReadInFlight.empty()) {
     return;
   }
-  mRead = {};
-  mIsTableUp = aResult.ok;
+  mReadInFlight = {};
+  mIsTableReachable = aResult.ok;
   if (!aResult.ok || aResult.rows.size() != 2) {
     mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
     aContext.WakeBy(mNextLeaseAction);
     return;
   }
-  OnRows(aContext, aView, aResult.rows[0], aResult.rows[1]);
+  OnRowsRead(aContext, aView, aResult.rows[0], aResult.rows[1]);
 }
 
-void Cell::OnRows(Context& aContext, const View& aView, const Row& aLease, const Row& aPlacement)
+void Cell::OnRowsRead(Context& aContext,
+                      const View& aView,
+                      const Row& aLease,
+                      const Row& aPlacement)
 {
   const auto* lease = aLease.value ? std::get_if<CellLeaseRow>(&*aLease.value) : nullptr;
   const auto* placement =
     aPlacement.value ? std::get_if<PlacementRow>(&*aPlacement.value) : nullptr;
   const Incarnation holder = lease != nullptr ? lease->holder : Incarnation{};
   const Fence fence = lease != nullptr ? lease->fence : Fence{};
-  const bool isOurs = holder == aContext.self();
+  const bool isHeldBySelf = holder == aContext.self();
 
   if (mPhase == LeasePhase::kHeld) {
     // While the lease is held, the rows are read only after a write that conflicted or whose result
     // is unknown.
-    if (!isOurs || fence != mFence) {
+    if (!isHeldBySelf || fence != mFence) {
       StepDown(aContext);
       return;
     }
@@ -102,53 +105,53 @@
     mRenewals = lease->renewals;
     mPlacementVersion = aPlacement.version;
     // The placement write may be the one that failed, so the placement is written again.
-    mIsDirty = true;
+    mIsPlacementDirty = true;
     mNextLeaseAction = aContext.now();
     mNextPlacementWrite = aContext.now();
     aContext.WakeBy(aContext.now());
     return;
   }
 
-  const bool isChanged = !mIsSeen || aLease.version != mLeaseVersion;
-  if (isChanged) {
-    mSeenSince = aContext.now();
-    mIsSeen = true;
+  const bool hasLeaseChanged = !mIsLeaseRead || aLease.version != mLeaseVersion;
+  if (hasLeaseChanged) {
+    mLeaseVersionReadAt = aContext.now();
+    mIsLeaseRead = true;
   }
   mLeaseVersion = aLease.version;
   mPlacementVersion = aPlacement.version;
-  mSeenPlacement = placement != nullptr ? *placement : PlacementRow{};
+  mLastReadPlacement = placement != nullptr ? *placement : PlacementRow{};
   mHolder = holder;
   mFence = fence;
   mRenewals = lease != nullptr ? lease->renewals : 0;
   if (aView.readiness() == Readiness::kStopping) {
     return;
   }
-  if (isOurs) {
+  if (isHeldBySelf) {
     // This daemon acquired the lease, but the result was lost. As the time of the acquisition is
     // unknown, the lease is treated as expired until the next renewal.
-    mLeaseUntil = {};
-    BeginTenure(aContext, aView, mSeenPlacement);
+    mLeaseValidUntil = {};
+    BeginLeaseTerm(aContext, aView, mLastReadPlacement);
     mNextLeaseAction = aContext.now();
     return;
   }
   // The holder measures the lease length by its own clock. The extra quarter allows for a clock
   // that runs slower than this daemon's.
-  const Duration patience = aContext.settings().leaseLength * 5 / 4;
-  if (holder.daemon.empty() || aContext.now() - mSeenSince >= patience) {
-    Acquire(aContext);
+  const Duration takeoverDelay = aContext.settings().leaseLength * 5 / 4;
+  if (holder.daemon.empty() || aContext.now() - mLeaseVersionReadAt >= takeoverDelay) {
+    AcquireLease(aContext);
   }
 }
 
-void Cell::Acquire(Context& aContext)
+void Cell::AcquireLease(Context& aContext)
 {
   mPhase = LeasePhase::kAcquiring;
   mLeaseChange = ChangeId{ aContext.NewName() };
-  mLeaseSentAt = aContext.now();
+  mLeaseChangeSentAt = aContext.now();
   CellLeaseRow lease{ .holder = aContext.self(),
                       .fence = Fence{ mFence.value + 1 },
                       .renewals = 0,
                       .change = mLeaseChange };
-  PlacementRow placement = mSeenPlacement;
+  PlacementRow placement = mLastReadPlacement;
   placement.fence = lease.fence;
   placement.change = mLeaseChange;
   TableTransaction transaction{ .change = mLeaseChange, .conditions = {}, .writes = {} };
@@ -159,14 +162,14 @@
   aContext.Emit(std::move(transaction));
 }
 
-void Cell::Renew(Context& aContext)
+void Cell::RenewLease(Context& aContext)
 {
-  if (!mLeaseChange.empty() || !mRead.empty()) {
+  if (!mLeaseChange.empty() || !mReadInFlight.empty()) {
     mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
     return;
   }
   mLeaseChange = ChangeId{ aContext.NewName() };
-  mLeaseSentAt = aContext.now();
+  mLeaseChangeSentAt = aContext.now();
   mNextLeaseAction = aContext.now() + aContext.settings().leaseRenewal;
   const CellLeaseRow lease{
     .holder = aContext.self(), .fence = mFence, .renewals = mRenewals + 1, .change = mLeaseChange
@@ -176,13 +179,13 @@
                                   .writes = { { CellLeaseKey(mId), RowValue{ lease } } } });
 }
 
-void Cell::HandOver(Context& aContext, const View& aView)
+void Cell::ReleaseLease(Context& aContext, const View& aView)
 {
   if (mPhase != LeasePhase::kHeld || !mLeaseChange.empty()) {
     return;
   }
   mLeaseChange = ChangeId{ aContext.NewName() };
-  mIsReleasing = true;
+  mIsReleasingLease = true;
   const CellLeaseRow lease{
     .holder = {}, .fence = mFence, .renewals = mRenewals + 1, .change = mLeaseChange
   };
@@ -190,11 +193,11 @@
                                   .conditions = { { CellLeaseKey(mId), mLeaseVersion } },
                                   .writes = { { CellLeaseKey(mId), RowValue{ lease } } } });
   for (const auto& [artifact, demand] : mDemands) {
-    for (const DaemonId& waiter : demand.waiters) {
-      Reply(aContext,
-            aView,
-            waiter,
-            { .cell = mId, .artifact = artifact, .status = DemandStatus::kNotHolder });
+    for (const DaemonId& waitingRouter : demand.waitingRouters) {
+      SendDemandReply(aContext,
+                      aView,
+                      waitingRouter,
+                      { .cell = mId, .artifact = artifact, .status = DemandStatus::kNotHolder });
     }
   }
 }
@@ -203,29 +206,29 @@
                                const View& aView,
                                const TransactionResult& aResult)
 {
-  const bool isLease = !mLeaseChange.empty() && aResult.change == mLeaseChange;
-  const bool isPlacement = !mPlacementChange.empty() && aResult.change == mPlacementChange;
-  if (!isLease && !isPlacement) {
+  const bool isLeaseResult = !mLeaseChange.empty() && aResult.change == mLeaseChange;
+  const bool isPlacementResult = !mPlacementChange.empty() && aResult.change == mPlacementChange;
+  if (!isLeaseResult && !isPlacementResult) {
     return;
   }
-  mIsTableUp = aResult.outcome != TransactionOutcome::kUnknown;
-  if (isLease) {
+  mIsTableReachable = aResult.outcome != TransactionOutcome::kUnknown;
+  if (isLeaseResult) {
     mLeaseChange = {};
   } else {
     mPlacementChange = {};
   }
-  if (isPlacement && aResult.outcome != TransactionOutcome::kCommitted) {
+  if (isPlacementResult && aResult.outcome != TransactionOutcome::kCommitted) {
     // The placement may not have been written, so it is written again.
-    mIsDirty = true;
-    mWriting.clear();
+    mIsPlacementDirty = true;
+    mOrdersBeingWritten.clear();
   }
   if (aResult.outcome == TransactionOutcome::kUnknown) {
     mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
     aContext.WakeBy(mNextLeaseAction);
-    mPhase = mPhase == LeasePhase::kHeld && !mIsReleasing ? mPhase : LeasePhase::kWatching;
-    mIsReleasing = false;
-    if (mRead.empty()) {
-      ReadRows(aContext);
+    mPhase = mPhase == LeasePhase::kHeld && !mIsReleasingLease ? mPhase : LeasePhase::kNotHeld;
+    mIsReleasingLease = false;
+    if (mReadInFlight.empty()) {
+      ReadLeaseAndPlacement(aContext);
     }
     return;
   }
@@ -236,9 +239,9 @@
     }
     // Either another daemon took the lease over, or an earlier write by this daemon took effect
     // late.
-    mIsReleasing = false;
-    if (mRead.empty()) {
-      ReadRows(aContext);
+    mIsReleasingLease = false;
+    if (mReadInFlight.empty()) {
+      ReadLeaseAndPlacement(aContext);
     }
     return;
   }
@@ -249,41 +252,42 @@
       mPlacementVersion = row.version;
     }
   }
-  if (isPlacement) {
+  if (isPlacementResult) {
     for (auto& [id, runner] : mRunners) {
       for (auto& [model, replica] : runner.replicas) {
-        replica.isWritten = replica.isWritten || mWriting.contains(replica.order);
+        replica.isIntentWritten =
+          replica.isIntentWritten || mOrdersBeingWritten.contains(replica.order);
       }
     }
-    mWriting.clear();
+    mOrdersBeingWritten.clear();
     aContext.WakeBy(aContext.now());
     return;
   }
-  if (mIsReleasing) {
+  if (mIsReleasingLease) {
     StepDown(aContext);
     return;
   }
-  mLeaseUntil = mLeaseSentAt + aContext.settings().leaseLength;
+  mLeaseValidUntil = mLeaseChangeSentAt + aContext.settings().leaseLength;
   if (mPhase == LeasePhase::kAcquiring) {
     ++mFence.value;
     mRenewals = 0;
-    BeginTenure(aContext, aView, mSeenPlacement);
+    BeginLeaseTerm(aContext, aView, mLastReadPlacement);
     return;
   }
   ++mRenewals;
 }
 
-void Cell::BeginTenure(Context& aContext, const View& aView, const PlacementRow& aPlacement)
+void Cell::BeginLeaseTerm(Context& aContext, const View& aView, const PlacementRow& aPlacement)
 {
   mPhase = LeasePhase::kHeld;
   mHolder = aContext.self();
   mRunners.clear();
-  mPlanned.clear();
+  mPlannedRunners.clear();
   mIsolation.reset();
-  mIsolationWaits.clear();
-  mCounts.clear();
+  mQueuedIsolations.clear();
+  mReplicaCountPolicies.clear();
   mNextLeaseAction = aContext.now() + aContext.settings().leaseRenewal;
-  mNextKeepAlive = aContext.now() + aContext.settings().replicaLifetime;
+  mNextKeepAliveCheck = aContext.now() + aContext.settings().replicaLifetime;
   for (const PlacementEntry& entry : aPlacement.entries) {
     Runner& runner = mRunners[entry.runner];
     runner.id = entry.runner;
@@ -293,14 +297,14 @@
     replica.version = entry.version;
     replica.order = entry.order;
     replica.issuer = entry.issuer;
-    replica.isWritten = true;
-    replica.mayBeKnown = true;
+    replica.isIntentWritten = true;
+    replica.mayHaveReachedRunner = true;
     replica.lastUsed = aContext.now();
-    replica.unloadableFrom = aContext.now() + UseLimit(aContext);
+    replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
     if (model != aView.configuration().models.end()) {
       replica.memory = ReservedMemory(model->second);
     }
-    replica.isReserved = IsUnchecked(aView) && entry.issuer != aContext.self() &&
+    replica.isReserved = AreOrdersUnchecked(aView) && entry.issuer != aContext.self() &&
                          entry.state != PlacementState::kLoaded &&
                          aContext.IsEnabled(Mechanism::kReservedIntent);
     switch (entry.state) {
@@ -320,27 +324,27 @@
 
 void Cell::StepDown(Context& aContext)
 {
-  mPhase = LeasePhase::kWatching;
-  mIsReleasing = false;
-  mIsSeen = false;
+  mPhase = LeasePhase::kNotHeld;
+  mIsReleasingLease = false;
+  mIsLeaseRead = false;
   mHolder = {};
   mLeaseChange = {};
   mPlacementChange = {};
-  mWriting.clear();
+  mOrdersBeingWritten.clear();
   mRunners.clear();
-  mPlanned.clear();
+  mPlannedRunners.clear();
   mIsolation.reset();
-  mIsolationWaits.clear();
+  mQueuedIsolations.clear();
   mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
   aContext.WakeBy(mNextLeaseAction);
 }
 
-bool Cell::IsLeaseSafe(const Context& aContext) const
+bool Cell::LeaseCoversOrderDelivery(const Context& aContext) const
 {
   if (!aContext.IsEnabled(Mechanism::kLeaseMargin)) {
     return true;
   }
-  return aContext.now() + aContext.settings().orderFlight < mLeaseUntil;
+  return aContext.now() + aContext.settings().orderFlight < mLeaseValidUntil;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -12,9 +12,9 @@
 /* Interval between inventory orders to a runner that answers. */
 constexpr Duration kInventoryInterval = 2s;
 /* Delay before the first regular inventory order when fenced recovery is disabled. */
-constexpr Duration kUnaskedTime = 60s;
+constexpr Duration kFirstInventoryDelay = 60s;
 /* Boot id recorded for a runner whose process has ended. No process has this id. */
-constexpr const char* kNoProcess = "none";
+constexpr const char* kEndedProcessBootId = "none";
 
 } // namespace
 
@@ -24,28 +24,28 @@
     const EndpointInfo& info = *aView.FindEndpoint(id);
     Runner& runner = mRunners[id];
     runner.id = id;
-    const ServiceSpec* service = Service(aView);
+    const ServiceSpec* service = FindServiceSpec(aView);
     if (!aContext.IsEnabled(Mechanism::kFencedRecovery) && runner.bootId.empty() &&
         service != nullptr) {
       // Only in tests: the first inventory is not awaited. The boot id comes from the host list,
       // the memory from the configuration and the replicas from the written placement.
       runner.bootId = info.bootId;
-      runner.reach = RunnerReach::kReached;
+      runner.reachability = RunnerReachability::kReachable;
       runner.memory = service->runnerMemory;
-      runner.nextInventory = aContext.now() + kUnaskedTime;
+      runner.nextInventoryAt = aContext.now() + kFirstInventoryDelay;
     }
-    if (!runner.inventory.empty() || runner.nextInventory > aContext.now()) {
-      if (runner.inventory.empty()) {
-        aContext.WakeBy(runner.nextInventory);
+    if (!runner.inventoryOrder.empty() || runner.nextInventoryAt > aContext.now()) {
+      if (runner.inventoryOrder.empty()) {
+        aContext.WakeBy(runner.nextInventoryAt);
       }
       continue;
     }
-    runner.inventory = OrderId{ aContext.NewName() };
-    runner.inventoryAskedAt = aContext.now();
+    runner.inventoryOrder = OrderId{ aContext.NewName() };
+    runner.inventoryRequestedAt = aContext.now();
     aContext.Emit(SendOrder{ .cell = mId,
                              .runner = id,
                              .address = info.address,
-                             .order = runner.inventory,
+                             .order = runner.inventoryOrder,
                              .kind = OrderKind::kInventory,
                              .fence = mFence,
                              .artifact = {},
@@ -53,25 +53,26 @@
                              .memory = {} });
   }
   // A runner that the host list no longer contains is gone, together with its replicas.
-  const auto before = mRunners.size();
+  const auto runnerCountBefore = mRunners.size();
   std::erase_if(mRunners,
                 [&](const auto& aItem) { return aView.FindEndpoint(aItem.first) == nullptr; });
-  mIsDirty = mIsDirty || mRunners.size() != before;
+  mIsPlacementDirty = mIsPlacementDirty || mRunners.size() != runnerCountBefore;
 }
 
-bool Cell::MaySend(const Context& aContext,
-                   const View& aView,
-                   const Runner& aRunner,
-                   const Replica& aReplica) const
+bool Cell::MaySendOrder(const Context& aContext,
+                        const View& aView,
+                        const Runner& aRunner,
+                        const Replica& aReplica) const
 {
-  const bool isUnchecked = IsUnchecked(aView);
-  if (isUnchecked && !IsLeaseSafe(aContext)) {
+  const bool areOrdersUnchecked = AreOrdersUnchecked(aView);
+  if (areOrdersUnchecked && !LeaseCoversOrderDelivery(aContext)) {
     return false;
   }
-  if (!aReplica.isWritten && isUnchecked && aContext.IsEnabled(Mechanism::kWrittenIntent)) {
+  if (!aReplica.isIntentWritten && areOrdersUnchecked &&
+      aContext.IsEnabled(Mechanism::kWrittenIntent)) {
     return false;
   }
-  if (aReplica.isWritten) {
+  if (aReplica.isIntentWritten) {
     return true;
   }
   if (!aContext.IsEnabled(Mechanism::kWrittenIntent)) {
@@ -80,29 +81,30 @@
   // While the table is down, runners that check the fencing token get unwritten orders, too:
   // unloads everywhere, and loads on the candidate runners of the model only.
   const bool isUnload = aReplica.phase == ReplicaPhase::kUnloadDecided;
-  return !mIsTableUp && (isUnload || IsCandidate(aContext, aView, aReplica.model, aRunner.id));
+  return !mIsTableReachable &&
+         (isUnload || IsCandidate(aContext, aView, aReplica.model, aRunner.id));
 }
 
-bool Cell::IsSeenQuiet(const Runner& aRunner, const Replica& aReplica)
+bool Cell::InventoryShowsIdle(const Runner& aRunner, const Replica& aReplica)
 {
-  return aReplica.running == 0 && aRunner.reach == RunnerReach::kReached &&
-         aRunner.inventory.empty() && aRunner.inventoryAskedAt >= aReplica.drainedFrom;
+  return aReplica.running == 0 && aRunner.reachability == RunnerReachability::kReachable &&
+         aRunner.inventoryOrder.empty() && aRunner.inventoryRequestedAt >= aReplica.idleCheckFrom;
 }
 
-bool Cell::IsQuiet(Context& aContext, Runner& aRunner, Replica& aReplica)
+bool Cell::ConfirmIdle(Context& aContext, Runner& aRunner, Replica& aReplica)
 {
   if (!aContext.IsEnabled(Mechanism::kDrainBeforeUnload)) {
     return true;
   }
-  if (!aReplica.isLastLook) {
+  if (!aReplica.isFinalInventoryRequested) {
     // The placement write may have taken long, so another inventory has to show that no request is
     // left before the unload order is sent.
-    aReplica.isLastLook = true;
-    NoteUnused(aContext, aRunner, aReplica);
+    aReplica.isFinalInventoryRequested = true;
+    RequestIdleCheck(aContext, aRunner, aReplica);
     aContext.WakeBy(aContext.now());
     return false;
   }
-  return IsSeenQuiet(aRunner, aReplica);
+  return InventoryShowsIdle(aRunner, aReplica);
 }
 
 void Cell::SendOrders(Context& aContext, const View& aView)
@@ -119,23 +121,24 @@
         replica.phase == ReplicaPhase::kLoadDecided || replica.phase == ReplicaPhase::kLoading;
       const bool isUnload =
         replica.phase == ReplicaPhase::kUnloadDecided || replica.phase == ReplicaPhase::kUnloading;
-      if ((!isLoad && !isUnload) || replica.isAnswered) {
+      if ((!isLoad && !isUnload) || replica.isOrderConfirmed) {
         continue;
       }
-      if (replica.nextOrder > aContext.now()) {
-        aContext.WakeBy(replica.nextOrder);
+      if (replica.nextSendAt > aContext.now()) {
+        aContext.WakeBy(replica.nextSendAt);
         continue;
       }
       const EndpointInfo* info = aView.FindEndpoint(id);
-      if (info == nullptr || !MaySend(aContext, aView, runner, replica)) {
+      if (info == nullptr || !MaySendOrder(aContext, aView, runner, replica)) {
         continue;
       }
-      if (replica.phase == ReplicaPhase::kUnloadDecided && !IsQuiet(aContext, runner, replica)) {
+      if (replica.phase == ReplicaPhase::kUnloadDecided &&
+          !ConfirmIdle(aContext, runner, replica)) {
         continue;
       }
       replica.phase = isLoad ? ReplicaPhase::kLoading : ReplicaPhase::kUnloading;
       // The order is not repeated before its result is known.
-      replica.nextOrder = TimePoint::max();
+      replica.nextSendAt = TimePoint::max();
       aContext.Emit(SendOrder{ .cell = mId,
                                .runner = id,
                                .address = info->address,
@@ -160,25 +163,25 @@
     return;
   }
   Runner& runner = found->second;
-  if (aResult.order == runner.inventory) {
-    runner.inventory = {};
-    const bool wasReached = runner.reach == RunnerReach::kReached;
+  if (aResult.order == runner.inventoryOrder) {
+    runner.inventoryOrder = {};
+    const bool wasReachable = runner.reachability == RunnerReachability::kReachable;
     if (aResult.outcome == OrderOutcome::kDone) {
-      runner.nextInventory = aContext.now() + kInventoryInterval;
+      runner.nextInventoryAt = aContext.now() + kInventoryInterval;
       Reconcile(aContext, aView, runner, aResult.inventory);
     } else {
       if (aResult.outcome == OrderOutcome::kRefused && !runner.bootId.empty()) {
         // The runner's process has ended, and with it the replicas that it had.
-        Reconcile(aContext, aView, runner, { .bootId = kNoProcess, .models = {} });
+        Reconcile(aContext, aView, runner, { .bootId = kEndedProcessBootId, .models = {} });
       }
-      runner.nextInventory = aContext.now() + aContext.settings().orderRetry;
-      runner.reach = RunnerReach::kUnreachable;
+      runner.nextInventoryAt = aContext.now() + aContext.settings().orderRetry;
+      runner.reachability = RunnerReachability::kUnreachable;
     }
-    const bool isReached = runner.reach == RunnerReach::kReached;
-    if (wasReached && isReached && !mIsDirty && mDemands.empty()) {
+    const bool isReachable = runner.reachability == RunnerReachability::kReachable;
+    if (wasReachable && isReachable && !mIsPlacementDirty && mDemands.empty()) {
       // The runner still answers, the placement is unchanged and no demand is pending, so the other
       // steps wait for the next wake-up.
-      aContext.WakeBy(runner.nextInventory);
+      aContext.WakeBy(runner.nextInventoryAt);
       return;
     }
     OnWake(aContext, aView);
@@ -199,12 +202,12 @@
     }
     const AdapterId adapter{ aResult.order.str().substr(replica.order.str().size() + 1) };
     if (aResult.outcome == OrderOutcome::kDone) {
-      replica.adaptersLoading.erase(adapter);
+      replica.adapterRetryAt.erase(adapter);
       replica.adapters.insert(adapter);
-      ReplyReady(aContext, aView, { model, adapter });
+      SendReadyReplies(aContext, aView, { model, adapter });
     } else if (aResult.outcome != OrderOutcome::kAccepted) {
-      replica.adaptersLoading[adapter] = aContext.now() + aContext.settings().orderRetry;
-      runner.nextInventory = aContext.now();
+      replica.adapterRetryAt[adapter] = aContext.now() + aContext.settings().orderRetry;
+      runner.nextInventoryAt = aContext.now();
     }
     OnWake(aContext, aView);
     return;
@@ -220,42 +223,42 @@
   const ModelId model = aReplica.model;
   switch (aResult.outcome) {
     case OrderOutcome::kAccepted:
-      aReplica.isAnswered = true;
-      aReplica.mayBeKnown = true;
-      aReplica.answeredAt = aContext.now();
+      aReplica.isOrderConfirmed = true;
+      aReplica.mayHaveReachedRunner = true;
+      aReplica.orderConfirmedAt = aContext.now();
       return;
     case OrderOutcome::kDone:
-      aReplica.isAnswered = true;
-      aReplica.mayBeKnown = true;
-      aReplica.answeredAt = aContext.now();
+      aReplica.isOrderConfirmed = true;
+      aReplica.mayHaveReachedRunner = true;
+      aReplica.orderConfirmedAt = aContext.now();
       aReplica.phase = ReplicaPhase::kLoaded;
       aReplica.lastUsed = aContext.now();
-      mIsDirty = true;
-      ReplyReady(aContext, aView, { model, {} });
+      mIsPlacementDirty = true;
+      SendReadyReplies(aContext, aView, { model, {} });
       return;
     case OrderOutcome::kNoMemory:
     case OrderOutcome::kFailed:
       if (aReplica.isReserved) {
-        aReplica.nextOrder = aContext.now() + aContext.settings().orderRetry;
+        aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
         return;
       }
-      Remove(aRunner, model);
+      RemoveReplica(aRunner, model);
       return;
     case OrderOutcome::kNotConnected:
     case OrderOutcome::kRefused:
-      aRunner.reach = RunnerReach::kUnreachable;
-      aRunner.nextInventory = aContext.now();
-      if (!aReplica.mayBeKnown && !aReplica.isReserved) {
-        Remove(aRunner, model);
+      aRunner.reachability = RunnerReachability::kUnreachable;
+      aRunner.nextInventoryAt = aContext.now();
+      if (!aReplica.mayHaveReachedRunner && !aReplica.isReserved) {
+        RemoveReplica(aRunner, model);
         return;
       }
-      aReplica.nextOrder = aContext.now() + aContext.settings().orderRetry;
+      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
       return;
     case OrderOutcome::kUnknown:
     case OrderOutcome::kFenced:
-      aReplica.mayBeKnown = true;
-      aReplica.isAnswered = false;
-      aReplica.nextOrder = aContext.now() + aContext.settings().orderRetry;
+      aReplica.mayHaveReachedRunner = true;
+      aReplica.isOrderConfirmed = false;
+      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
       return;
   }
 }
@@ -266,16 +269,16 @@
                           const OrderResult& aResult)
 {
   if (aResult.outcome == OrderOutcome::kDone && !aReplica.isReserved) {
-    Remove(aRunner, ModelId{ aReplica.model });
+    RemoveReplica(aRunner, ModelId{ aReplica.model });
     return;
   }
   if (aResult.outcome == OrderOutcome::kAccepted) {
-    aReplica.isAnswered = true;
-    aReplica.answeredAt = aContext.now();
+    aReplica.isOrderConfirmed = true;
+    aReplica.orderConfirmedAt = aContext.now();
     return;
   }
-  aReplica.isAnswered = false;
-  aReplica.nextOrder = aContext.now() + aContext.settings().orderRetry;
+  aReplica.isOrderConfirmed = false;
+  aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
 }
 
 void Cell::Reconcile(Context& aContext,
@@ -284,8 +287,8 @@
                      const Inventory& aInventory)
 {
   const bool isRestarted = !aRunner.bootId.empty() && aRunner.bootId != aInventory.bootId;
-  const bool isFirst = aRunner.bootId.empty();
-  aRunner.reach = RunnerReach::kReached;
+  const bool isFirstInventory = aRunner.bootId.empty();
+  aRunner.reachability = RunnerReachability::kReachable;
   aRunner.bootId = aInventory.bootId;
   aRunner.memory = aInventory.memory;
   aRunner.reportedLoad = aInventory.running + aInventory.queued;
@@ -300,38 +303,38 @@
       replica.order = OrderId{ aContext.NewName() };
       replica.issuer = aContext.self();
       replica.lastUsed = aContext.now();
-      replica.unloadableFrom = aContext.now() + UseLimit(aContext);
+      replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
       replica.phase = loaded.ready ? ReplicaPhase::kLoaded : ReplicaPhase::kLoading;
-      replica.isAnswered = true;
-      replica.isWritten = true;
+      replica.isOrderConfirmed = true;
+      replica.isIntentWritten = true;
       if (spec != aView.configuration().models.end()) {
         replica.memory = ReservedMemory(spec->second);
       }
-      mIsDirty = true;
+      mIsPlacementDirty = true;
     }
-    replica.mayBeKnown = true;
+    replica.mayHaveReachedRunner = true;
     replica.running = loaded.running;
-    if (replica.phase == ReplicaPhase::kLoaded && !replica.isAnswered) {
+    if (replica.phase == ReplicaPhase::kLoaded && !replica.isOrderConfirmed) {
       // The inventory confirms a former holder's replica. If a later inventory does not list it, it
       // is gone.
-      replica.isAnswered = true;
-      replica.answeredAt = aContext.now();
+      replica.isOrderConfirmed = true;
+      replica.orderConfirmedAt = aContext.now();
     }
     replica.adapters.insert(loaded.adapters.begin(), loaded.adapters.end());
     const bool wasLoading = replica.phase == ReplicaPhase::kLoading;
     if (wasLoading && loaded.ready) {
       replica.phase = ReplicaPhase::kLoaded;
-      replica.isAnswered = true;
-      replica.answeredAt = aContext.now();
+      replica.isOrderConfirmed = true;
+      replica.orderConfirmedAt = aContext.now();
       replica.lastUsed = aContext.now();
-      mIsDirty = true;
-      ReplyReady(aContext, aView, { loaded.model, {} });
+      mIsPlacementDirty = true;
+      SendReadyReplies(aContext, aView, { loaded.model, {} });
     }
   }
-  std::vector<ModelId> vanished;
+  std::vector<ModelId> missingModels;
   for (auto& [id, replica] : aRunner.replicas) {
     const ModelId& model = id;
-    const bool isListed =
+    const bool isInInventory =
       std::any_of(aInventory.models.begin(),
                   aInventory.models.end(),
                   [&](const LoadedModel& aLoaded) { return aLoaded.model == model; });
@@ -339,32 +342,33 @@
     // it does not prove that the model is gone.
     const bool wasLoaded =
       replica.phase == ReplicaPhase::kLoaded || replica.phase == ReplicaPhase::kDraining;
-    const bool isSettled =
-      (replica.isAnswered || wasLoaded) && replica.answeredAt < aRunner.inventoryAskedAt;
-    const bool isInherited = isFirst && replica.issuer != aContext.self();
-    if (isListed || replica.phase == ReplicaPhase::kLoadDecided) {
+    const bool wasConfirmedBefore = (replica.isOrderConfirmed || wasLoaded) &&
+                                    replica.orderConfirmedAt < aRunner.inventoryRequestedAt;
+    const bool isFromFormerHolder = isFirstInventory && replica.issuer != aContext.self();
+    if (isInInventory || replica.phase == ReplicaPhase::kLoadDecided) {
       continue;
     }
     if (replica.isReserved) {
       replica.phase =
         replica.phase == ReplicaPhase::kLoaded ? ReplicaPhase::kLoading : replica.phase;
-      replica.isAnswered = false;
+      replica.isOrderConfirmed = false;
       continue;
     }
     // Once a runner that checks the fencing token has answered an order of this term, it rejects
     // all orders of former holders. A load of theirs that is not listed then never happens.
-    const bool isFenced = !IsUnchecked(aView);
-    const bool isAdopted = isInherited && (isFenced || replica.phase == ReplicaPhase::kLoaded);
-    if (isSettled || isAdopted || (isRestarted && replica.isAnswered)) {
-      vanished.push_back(model);
+    const bool areOrdersChecked = !AreOrdersUnchecked(aView);
+    const bool isKnownMissing =
+      isFromFormerHolder && (areOrdersChecked || replica.phase == ReplicaPhase::kLoaded);
+    if (wasConfirmedBefore || isKnownMissing || (isRestarted && replica.isOrderConfirmed)) {
+      missingModels.push_back(model);
     }
   }
-  for (const ModelId& model : vanished) {
-    Remove(aRunner, model);
+  for (const ModelId& model : missingModels) {
+    RemoveReplica(aRunner, model);
   }
 }
 
-void Cell::ReleaseReserved(Context& aContext, const View& aView)
+void Cell::ReleaseReservations(Context& aContext, const View& aView)
 {
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
@@ -375,7 +379,7 @@
         replica.isReserved = false;
         continue;
       }
-      if (mNextKeepAlive <= aContext.now()) {
+      if (mNextKeepAliveCheck <= aContext.now()) {
         aView.SendTo(aContext,
                      replica.issuer.daemon,
                      WithdrawOrderMessage{ mId, replica.order, replica.issuer });
@@ -401,7 +405,7 @@
   OnWake(aContext, aView);
 }
 
-void Cell::OnWithdraw(Context& aContext, const OrderId& aOrder)
+void Cell::OnWithdrawOrder(Context& aContext, const OrderId& aOrder)
 {
   for (const auto& [id, runner] : mRunners) {
     for (const auto& [model, replica] : runner.replicas) {
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /* Interval between checks for idle replicas. */
-constexpr Duration kKeepAliveInterval = 500ms;
+constexpr Duration kKeepAliveCheckInterval = 500ms;
 /* Interval at which a drain message is repeated to a router that has not answered it. */
-constexpr Duration kDrainRepeat = 1s;
+constexpr Duration kDrainRepeatInterval = 1s;
 /* Idle time after which a replica may be evicted for another model. */
-constexpr Duration kEvictableIdle = 1s;
+constexpr Duration kMinEvictableIdleTime = 1s;
 
 PlacementState StateOf(ReplicaPhase aPhase)
 {
@@ -37,15 +37,15 @@
 
 } // namespace
 
-const ServiceSpec* Cell::Service(const View& aView) const
+const ServiceSpec* Cell::FindServiceSpec(const View& aView) const
 {
   const auto found = aView.configuration().services.find(ServiceId{ mId.str() });
   return found == aView.configuration().services.end() ? nullptr : &found->second;
 }
 
-bool Cell::IsUnchecked(const View& aView) const
+bool Cell::AreOrdersUnchecked(const View& aView) const
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   return service == nullptr || service->orderCheck == OrderCheck::kUnchecked;
 }
 
@@ -55,11 +55,11 @@
                        const EndpointId& aRunner) const
 {
   const std::uint64_t weight = RendezvousWeight(aModel.str(), aRunner.str());
-  std::uint32_t better = 0;
+  std::uint32_t higherRanked = 0;
   for (const EndpointId& id : aView.EndpointsOf(ServiceId{ mId.str() })) {
-    better += RendezvousWeight(aModel.str(), id.str()) > weight ? 1 : 0;
+    higherRanked += RendezvousWeight(aModel.str(), id.str()) > weight ? 1 : 0;
   }
-  return better < aContext.settings().candidateRunners;
+  return higherRanked < aContext.settings().candidateRunners;
 }
 
 std::uint32_t Cell::CountReplicas(const Context& aContext,
@@ -72,10 +72,10 @@
       ++count;
       continue;
     }
-    const bool mayHoldUnwritten = runner.reach != RunnerReach::kReached && runner.bootId.empty() &&
-                                  !IsUnchecked(aView) &&
-                                  aContext.IsEnabled(Mechanism::kPossibleReplicas);
-    if (mayHoldUnwritten && IsCandidate(aContext, aView, aModel, id)) {
+    const bool mayHoldUnwrittenReplica = runner.reachability != RunnerReachability::kReachable &&
+                                         runner.bootId.empty() && !AreOrdersUnchecked(aView) &&
+                                         aContext.IsEnabled(Mechanism::kPossibleReplicas);
+    if (mayHoldUnwrittenReplica && IsCandidate(aContext, aView, aModel, id)) {
       ++count;
     }
   }
@@ -85,42 +85,43 @@
 MemoryMb Cell::FreeMemory(const Context& aContext,
                           const View& aView,
                           const Runner& aRunner,
-                          const ModelId& aFor) const
+                          const ModelId& aPlacedModel) const
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   MemoryMb free = aRunner.memory - service->kvCacheReserve;
   for (const auto& [model, replica] : aRunner.replicas) {
-    const bool isCounted =
+    const bool isMemoryReserved =
       replica.phase == ReplicaPhase::kLoaded || aContext.IsEnabled(Mechanism::kMemoryReservation);
-    free = free - (isCounted ? replica.memory : MemoryMb{});
+    free = free - (isMemoryReserved ? replica.memory : MemoryMb{});
   }
-  for (const auto& [model, runner] : mPlanned) {
+  for (const auto& [model, runner] : mPlannedRunners) {
     const auto spec = aView.configuration().models.find(model);
-    if (runner == aRunner.id && model != aFor && spec != aView.configuration().models.end()) {
+    if (runner == aRunner.id && model != aPlacedModel &&
+        spec != aView.configuration().models.end()) {
       free = free - ReservedMemory(spec->second);
     }
   }
   return free;
 }
 
-bool Cell::TryPlace(Context& aContext, const View& aView, const ModelSpec& aModel)
+bool Cell::TryPlaceReplica(Context& aContext, const View& aView, const ModelSpec& aModel)
 {
   const MemoryMb needed = ReservedMemory(aModel);
-  const bool isUnwritten = !mIsTableUp;
-  if (isUnwritten && IsUnchecked(aView)) {
+  const bool isTableDown = !mIsTableReachable;
+  if (isTableDown && AreOrdersUnchecked(aView)) {
     return false;
   }
   Runner* best = nullptr;
   PlacementScore bestScore;
   for (auto& [id, runner] : mRunners) {
-    const bool isUsable = runner.reach == RunnerReach::kReached &&
+    const bool isUsable = runner.reachability == RunnerReachability::kReachable &&
                           aView.IsUsable(id, aContext.now()) &&
                           !runner.replicas.contains(aModel.id);
     if (!isUsable || FreeMemory(aContext, aView, runner, aModel.id) < needed) {
       continue;
     }
     const bool isCandidate = IsCandidate(aContext, aView, aModel.id, id);
-    if (isUnwritten && !isCandidate) {
+    if (isTableDown && !isCandidate) {
       continue;
     }
     const PlacementScore score{ .hasCheckpoint = runner.checkpoints.contains(aModel.id),
@@ -142,28 +143,29 @@
   replica.order = OrderId{ aContext.NewName() };
   replica.issuer = aContext.self();
   replica.lastUsed = aContext.now();
-  mPlanned.erase(aModel.id);
-  mIsDirty = true;
+  mPlannedRunners.erase(aModel.id);
+  mIsPlacementDirty = true;
   return true;
 }
 
-bool Cell::TryEvict(Context& aContext, const View& aView, const ModelSpec& aModel)
+bool Cell::TryFreeMemory(Context& aContext, const View& aView, const ModelSpec& aModel)
 {
-  if (mPlanned.contains(aModel.id)) {
+  if (mPlannedRunners.contains(aModel.id)) {
     return true;
   }
   const MemoryMb needed = ReservedMemory(aModel);
   Runner* best = nullptr;
   std::vector<Replica*> bestVictims;
-  TimePoint bestAge = TimePoint::max();
+  TimePoint bestLatestUse = TimePoint::max();
   for (auto& [id, runner] : mRunners) {
-    if (runner.reach != RunnerReach::kReached || !aView.IsUsable(id, aContext.now())) {
+    if (runner.reachability != RunnerReachability::kReachable ||
+        !aView.IsUsable(id, aContext.now())) {
       continue;
     }
     std::vector<Replica*> idle;
     for (auto& [model, replica] : runner.replicas) {
       const bool isIdle = replica.phase == ReplicaPhase::kLoaded && !replica.isReserved &&
-                          replica.lastUsed + kEvictableIdle <= aContext.now() &&
+                          replica.lastUsed + kMinEvictableIdleTime <= aContext.now() &&
                           replica.unloadableFrom <= aContext.now();
       if (isIdle) {
         idle.push_back(&replica);
@@ -183,17 +185,17 @@
     }
     // Prefers a runner that needs no eviction, then the one whose most recently used victim has
     // been idle the longest.
-    const TimePoint age = victims.empty() ? TimePoint::min() : victims.back()->lastUsed;
-    if (free >= needed && age < bestAge) {
+    const TimePoint latestUse = victims.empty() ? TimePoint::min() : victims.back()->lastUsed;
+    if (free >= needed && latestUse < bestLatestUse) {
       best = &runner;
       bestVictims = std::move(victims);
-      bestAge = age;
+      bestLatestUse = latestUse;
     }
   }
   if (best == nullptr) {
     return false;
   }
-  mPlanned[aModel.id] = best->id;
+  mPlannedRunners[aModel.id] = best->id;
   for (Replica* victim : bestVictims) {
     StartDrain(aContext, aView, *best, *victim);
   }
@@ -203,19 +205,19 @@
 void Cell::StartDrain(Context& aContext, const View& aView, Runner& aRunner, Replica& aReplica)
 {
   aReplica.phase = ReplicaPhase::kDraining;
-  aReplica.nextOrder = aContext.now();
-  NoteUnused(aContext, aRunner, aReplica);
+  aReplica.nextSendAt = aContext.now();
+  RequestIdleCheck(aContext, aRunner, aReplica);
   if (!aContext.IsEnabled(Mechanism::kDrainBeforeUnload)) {
-    aReplica.users.clear();
+    aReplica.permittedRouters.clear();
   }
   ContinueDrains(aContext, aView);
   aContext.WakeBy(aContext.now());
 }
 
-void Cell::NoteUnused(const Context& aContext, Runner& aRunner, Replica& aReplica)
+void Cell::RequestIdleCheck(const Context& aContext, Runner& aRunner, Replica& aReplica)
 {
-  aReplica.drainedFrom = aContext.now();
-  aRunner.nextInventory = aContext.now();
+  aReplica.idleCheckFrom = aContext.now();
+  aRunner.nextInventoryAt = aContext.now();
 }
 
 /* Returns whether a runner is leaving and takes no new requests. */
@@ -232,42 +234,44 @@
       // Replicas on a leaving runner are drained, so that their models can be loaded elsewhere.
       if (replica.phase == ReplicaPhase::kLoaded && IsLeaving(aView, id)) {
         replica.phase = ReplicaPhase::kDraining;
-        replica.nextOrder = aContext.now();
+        replica.nextSendAt = aContext.now();
       }
       if (replica.phase != ReplicaPhase::kDraining) {
         continue;
       }
-      const bool wasUsed = !replica.users.empty();
-      std::erase_if(replica.users,
-                    [&](const auto& aUser) { return aUser.second <= aContext.now(); });
-      if (wasUsed && replica.users.empty()) {
-        NoteUnused(aContext, runner, replica);
+      const bool hadPermittedRouters = !replica.permittedRouters.empty();
+      std::erase_if(replica.permittedRouters, [&](const auto& aRouterPermission) {
+        return aRouterPermission.second <= aContext.now();
+      });
+      if (hadPermittedRouters && replica.permittedRouters.empty()) {
+        RequestIdleCheck(aContext, runner, replica);
       }
       // After a takeover, routers that a former holder informed are not in the list of users. The
       // inventory still shows their requests.
-      if (replica.users.empty() &&
-          (IsSeenQuiet(runner, replica) || !aContext.IsEnabled(Mechanism::kDrainBeforeUnload))) {
-        replica.isLastLook = false;
+      if (replica.permittedRouters.empty() &&
+          (InventoryShowsIdle(runner, replica) ||
+           !aContext.IsEnabled(Mechanism::kDrainBeforeUnload))) {
+        replica.isFinalInventoryRequested = false;
         replica.phase = ReplicaPhase::kUnloadDecided;
         replica.order = OrderId{ aContext.NewName() };
         replica.issuer = aContext.self();
-        replica.isWritten = false;
-        replica.isAnswered = false;
-        mIsDirty = true;
+        replica.isIntentWritten = false;
+        replica.isOrderConfirmed = false;
+        mIsPlacementDirty = true;
         continue;
       }
-      if (replica.nextOrder <= aContext.now()) {
-        replica.nextOrder = aContext.now() + kDrainRepeat;
+      if (replica.nextSendAt <= aContext.now()) {
+        replica.nextSendAt = aContext.now() + kDrainRepeatInterval;
         const DrainMessage drain{ mId, id, model, mFence };
-        for (const auto& [user, until] : replica.users) {
-          if (user == aContext.self().daemon) {
-            aContext.Emit(SendMessage{ user, {}, drain });
+        for (const auto& [router, until] : replica.permittedRouters) {
+          if (router == aContext.self().daemon) {
+            aContext.Emit(SendMessage{ router, {}, drain });
           } else {
-            aView.SendTo(aContext, user, drain);
+            aView.SendTo(aContext, router, drain);
           }
         }
       }
-      aContext.WakeBy(replica.nextOrder);
+      aContext.WakeBy(replica.nextSendAt);
     }
   }
 }
@@ -286,47 +290,49 @@
       (replica->second.phase != ReplicaPhase::kDraining && !IsIsolated(aDrained.runner))) {
     return;
   }
-  replica->second.users.erase(aFrom);
-  if (replica->second.users.empty()) {
-    NoteUnused(aContext, runner->second, replica->second);
+  replica->second.permittedRouters.erase(aFrom);
+  if (replica->second.permittedRouters.empty()) {
+    RequestIdleCheck(aContext, runner->second, replica->second);
   }
   OnWake(aContext, aView);
 }
 
-void Cell::UnloadIdle(Context& aContext, const View& aView)
+void Cell::DrainIdleReplicas(Context& aContext, const View& aView)
 {
-  if (mNextKeepAlive > aContext.now()) {
-    aContext.WakeBy(mNextKeepAlive);
+  if (mNextKeepAliveCheck > aContext.now()) {
+    aContext.WakeBy(mNextKeepAliveCheck);
     return;
   }
-  mNextKeepAlive = aContext.now() + kKeepAliveInterval;
-  aContext.WakeBy(mNextKeepAlive);
-  const ServiceSpec* service = Service(aView);
+  mNextKeepAliveCheck = aContext.now() + kKeepAliveCheckInterval;
+  aContext.WakeBy(mNextKeepAliveCheck);
+  const ServiceSpec* service = FindServiceSpec(aView);
   if (service == nullptr) {
     return;
   }
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
-      const bool isUnloadable = replica.phase == ReplicaPhase::kLoaded && !replica.isReserved &&
-                                replica.unloadableFrom <= aContext.now();
+      const bool mayBeUnloaded = replica.phase == ReplicaPhase::kLoaded && !replica.isReserved &&
+                                 replica.unloadableFrom <= aContext.now();
       const auto spec = aView.configuration().models.find(model);
-      if (!isUnloadable) {
+      if (!mayBeUnloaded) {
         continue;
       }
       const bool isDeclared = spec != aView.configuration().models.end();
-      const double share = runner.memory.value == 0 ? 0.0
-                                                    : static_cast<double>(replica.memory.value) /
-                                                        static_cast<double>(runner.memory.value);
+      const double memoryShare =
+        runner.memory.value == 0
+          ? 0.0
+          : static_cast<double>(replica.memory.value) / static_cast<double>(runner.memory.value);
       // The idle time of a preloaded replica starts with the last use of its model, not with its
       // load.
-      const ModelUsage& usage = mUsage[model];
+      const ModelUsage& usage = mModelUsage[model];
       const Duration idle = aContext.now() - (usage.isUsed ? usage.lastUsed : replica.lastUsed);
-      const bool isHeld =
+      const bool isKept =
         isDeclared &&
         (idle < aContext.settings().replicaLifetime ||
-         IsWorthHolding(
-           service->keepAlive, { usage, mCellIdleTimes, spec->second.expectedLoad, share }, idle));
-      if (!isHeld) {
+         ShouldKeepLoaded(service->keepAlive,
+                          { usage, mCellIdleTimes, spec->second.expectedLoad, memoryShare },
+                          idle));
+      if (!isKept) {
         StartDrain(aContext, aView, runner, replica);
       }
     }
@@ -351,34 +357,34 @@
 
 void Cell::WritePlacement(Context& aContext)
 {
-  if (!mIsDirty || !mPlacementChange.empty() || !mRead.empty()) {
+  if (!mIsPlacementDirty || !mPlacementChange.empty() || !mReadInFlight.empty()) {
     return;
   }
   if (mNextPlacementWrite > aContext.now()) {
     aContext.WakeBy(mNextPlacementWrite);
     return;
   }
-  mIsDirty = false;
+  mIsPlacementDirty = false;
   const PlacementRow row = MakePlacementRow(aContext);
   mPlacementChange = row.change;
-  mWriting.clear();
+  mOrdersBeingWritten.clear();
   for (const PlacementEntry& entry : row.entries) {
-    mWriting.insert(entry.order);
+    mOrdersBeingWritten.insert(entry.order);
   }
   aContext.Emit(TableTransaction{ .change = row.change,
                                   .conditions = { { PlacementKey(mId), mPlacementVersion } },
                                   .writes = { { PlacementKey(mId), RowValue{ row } } } });
 }
 
-Duration Cell::UseLimit(const Context& aContext)
+Duration Cell::LocationValidity(const Context& aContext)
 {
   return aContext.settings().replicaLifetime * 5 / 4;
 }
 
-void Cell::Remove(Runner& aRunner, const ModelId& aModel)
+void Cell::RemoveReplica(Runner& aRunner, const ModelId& aModel)
 {
   aRunner.replicas.erase(aModel);
-  mIsDirty = true;
+  mIsPlacementDirty = true;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/scheduler/keep_alive.cpp
+++ b/src/decision/scheduler/keep_alive.cpp
@@ -12,77 +12,86 @@
 namespace {
 
 /* Number of recorded idle times below which the policies do not predict from them. */
-constexpr std::uint32_t kTrustedSamples = 8;
+constexpr std::uint32_t kMinSamples = 8;
 /* Weight of the whole cell histogram, in samples, when it is added to a model's own. */
-constexpr double kPriorSamples = 2.0;
+constexpr double kCellHistogramWeight = 2.0;
 /* Idle limit while there are too few idle times to predict from. */
-constexpr Duration kUntrustedLimit = 60s;
+constexpr Duration kDefaultIdleLimit = 60s;
 /* Number of histogram buckets for each doubling of the idle time. */
 constexpr double kBucketsPerOctave = 4.0;
 /* Factor by which the expected benefit of a preload must exceed its cost, as a prediction can be
  * wrong. */
 constexpr double kPreloadMargin = 1.5;
 
-bool IsHeld(const HistogramKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
+bool ShouldKeep(const HistogramKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdleTime)
 {
-  if (aInput.usage.idleTimes.total() < kTrustedSamples) {
-    return aIdle < std::clamp(kUntrustedLimit, aPolicy.minimum, aPolicy.maximum);
+  if (aInput.usage.idleTimes.total() < kMinSamples) {
+    return aIdleTime < std::clamp(kDefaultIdleLimit, aPolicy.minimum, aPolicy.maximum);
   }
-  const Duration tail = aInput.usage.idleTimes.Percentile(aPolicy.percentile);
+  const Duration percentileLimit = aInput.usage.idleTimes.Percentile(aPolicy.percentile);
   // If the percentile exceeds the maximum, a replica cannot be kept long enough to cover that share
   // of the idle times, so only the minimum applies.
-  return aIdle < (tail > aPolicy.maximum ? aPolicy.minimum : std::max(tail, aPolicy.minimum));
+  return aIdleTime < (percentileLimit > aPolicy.maximum
+                        ? aPolicy.minimum
+                        : std::max(percentileLimit, aPolicy.minimum));
 }
 
 /* Returns the ratio of the expected cold-start time saved to the expected memory time spent if the
- * replica is kept from idle time aIdle on, for the end of keeping that gives the highest ratio.
+ * replica is kept from idle time aIdleTime on, for the end of keeping that gives the highest ratio.
  * From 1 on, keeping the replica is worth its cost. */
-double HoldingRatio(const CostAwareKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
+double KeepAliveBenefitRatio(const CostAwareKeepAlive& aPolicy,
+                             const KeepAliveInput& aInput,
+                             Duration aIdleTime)
 {
-  const IdleHistogram& own = aInput.usage.idleTimes;
-  const IdleHistogram& cell = aInput.cellIdleTimes;
-  const double prior = cell.total() == 0 ? 0.0 : kPriorSamples / cell.total();
+  const IdleHistogram& ownHistogram = aInput.usage.idleTimes;
+  const IdleHistogram& cellHistogram = aInput.cellIdleTimes;
+  const double cellWeight =
+    cellHistogram.total() == 0 ? 0.0 : kCellHistogramWeight / cellHistogram.total();
   const auto weightOf = [&](std::size_t aBucket) {
-    return own.count(aBucket) + prior * cell.count(aBucket);
+    return ownHistogram.count(aBucket) + cellWeight * cellHistogram.count(aBucket);
   };
-  const std::size_t first = IdleHistogram::BucketOf(aIdle);
-  double remaining = 0;
-  for (std::size_t bucket = first; bucket < IdleHistogram::kBuckets; ++bucket) {
-    remaining += weightOf(bucket);
+  const std::size_t firstBucket = IdleHistogram::BucketOf(aIdleTime);
+  double remainingWeight = 0;
+  for (std::size_t bucket = firstBucket; bucket < IdleHistogram::kBuckets; ++bucket) {
+    remainingWeight += weightOf(bucket);
   }
-  const double saving =
+  const double coldStartSaving =
     aPolicy.coldStartWeight * std::chrono::duration<double>(aInput.expectedLoad).count();
-  double best = 0;
-  double returned = 0;
-  double held = 0;
-  Duration from = aIdle;
-  for (std::size_t bucket = first; bucket < IdleHistogram::kBuckets && remaining > 0; ++bucket) {
-    const Duration end = IdleHistogram::UpperEnd(bucket);
-    const double length = std::chrono::duration<double>(end - from).count();
-    const double returning = weightOf(bucket);
+  double bestRatio = 0;
+  double returnedWeight = 0;
+  double memoryTime = 0;
+  Duration intervalStart = aIdleTime;
+  for (std::size_t bucket = firstBucket; bucket < IdleHistogram::kBuckets && remainingWeight > 0;
+       ++bucket) {
+    const Duration intervalEnd = IdleHistogram::UpperEnd(bucket);
+    const double intervalSeconds =
+      std::chrono::duration<double>(intervalEnd - intervalStart).count();
+    const double returningWeight = weightOf(bucket);
     // Idle times that end within the bucket are assumed to end at its middle.
-    held += length * (remaining - returning / 2);
-    remaining -= returning;
-    returned += returning;
-    best = std::max(best, returned * saving / std::max(1e-9, held * aInput.memoryShare));
-    from = end;
+    memoryTime += intervalSeconds * (remainingWeight - returningWeight / 2);
+    remainingWeight -= returningWeight;
+    returnedWeight += returningWeight;
+    bestRatio =
+      std::max(bestRatio,
+               returnedWeight * coldStartSaving / std::max(1e-9, memoryTime * aInput.memoryShare));
+    intervalStart = intervalEnd;
   }
-  return best;
+  return bestRatio;
 }
 
-bool IsHeld(const CostAwareKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
+bool ShouldKeep(const CostAwareKeepAlive& aPolicy, const KeepAliveInput& aInput, Duration aIdleTime)
 {
-  if (aInput.usage.idleTimes.total() + aInput.cellIdleTimes.total() < kTrustedSamples) {
-    return aIdle < kUntrustedLimit;
+  if (aInput.usage.idleTimes.total() + aInput.cellIdleTimes.total() < kMinSamples) {
+    return aIdleTime < kDefaultIdleLimit;
   }
-  return HoldingRatio(aPolicy, aInput, aIdle) >= 1.0;
+  return KeepAliveBenefitRatio(aPolicy, aInput, aIdleTime) >= 1.0;
 }
 
 } // namespace
 
-std::size_t IdleHistogram::BucketOf(Duration aIdle)
+std::size_t IdleHistogram::BucketOf(Duration aIdleTime)
 {
-  const double seconds = std::chrono::duration<double>(aIdle).count();
+  const double seconds = std::chrono::duration<double>(aIdleTime).count();
   if (seconds < 1.0) {
     return 0;
   }
@@ -96,40 +105,45 @@
   return Duration{ static_cast<Duration::rep>(seconds * 1e6) };
 }
 
-void IdleHistogram::Add(Duration aIdle)
+void IdleHistogram::Add(Duration aIdleTime)
 {
-  ++mCounts[BucketOf(aIdle)];
+  ++mReplicaCountPolicies[BucketOf(aIdleTime)];
   ++mTotal;
 }
 
 Duration IdleHistogram::Percentile(std::uint32_t aPercentile) const
 {
-  const std::uint64_t wanted = (std::uint64_t{ mTotal } * aPercentile + 99) / 100;
-  std::uint64_t seen = 0;
+  const std::uint64_t wantedCount = (std::uint64_t{ mTotal } * aPercentile + 99) / 100;
+  std::uint64_t cumulativeCount = 0;
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
-    seen += mCounts[bucket];
-    if (seen >= wanted) {
+    cumulativeCount += mReplicaCountPolicies[bucket];
+    if (cumulativeCount >= wantedCount) {
       return UpperEnd(bucket);
     }
   }
   return UpperEnd(kBuckets - 1);
 }
 
-bool IsWorthHolding(const KeepAlivePolicy& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
+bool ShouldKeepLoaded(const KeepAlivePolicy& aPolicy,
+                      const KeepAliveInput& aInput,
+                      Duration aIdleTime)
 {
-  return std::visit(
-    Overloaded{ [&](const FixedKeepAlive& aFixed) { return aIdle < aFixed.idleLimit; },
-                [&](const auto& aLearning) { return IsHeld(aLearning, aInput, aIdle); } },
-    aPolicy);
+  return std::visit(Overloaded{ [&](const FixedKeepAlive& aFixedPolicy) {
+                                 return aIdleTime < aFixedPolicy.idleLimit;
+                               },
+                                [&](const auto& aHistogramBasedPolicy) {
+                                  return ShouldKeep(aHistogramBasedPolicy, aInput, aIdleTime);
+                                } },
+                    aPolicy);
 }
 
-bool IsWorthPreloading(const KeepAlivePolicy& aPolicy, const KeepAliveInput& aInput, Duration aIdle)
+bool ShouldPreload(const KeepAlivePolicy& aPolicy, const KeepAliveInput& aInput, Duration aIdleTime)
 {
   const auto* policy = std::get_if<CostAwareKeepAlive>(&aPolicy);
-  if (policy == nullptr || aInput.usage.idleTimes.total() < kTrustedSamples) {
+  if (policy == nullptr || aInput.usage.idleTimes.total() < kMinSamples) {
     return false;
   }
-  return HoldingRatio(*policy, aInput, aIdle) >= kPreloadMargin;
+  return KeepAliveBenefitRatio(*policy, aInput, aIdleTime) >= kPreloadMargin;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/scheduler/keep_alive_base.h
+++ b/src/decision/scheduler/keep_alive_base.h
@@ -19,12 +19,12 @@
 public:
   static constexpr std::size_t kBuckets = 72;
 
-  void Add(Duration aIdle);
+  void Add(Duration aIdleTime);
   std::uint32_t total() const { return mTotal; }
-  std::uint32_t count(std::size_t aBucket) const { return mCounts[aBucket]; }
+  std::uint32_t count(std::size_t aBucket) const { return mReplicaCountPolicies[aBucket]; }
 
   /* Returns the bucket that counts this idle time. */
-  static std::size_t BucketOf(Duration aIdle);
+  static std::size_t BucketOf(Duration aIdleTime);
   /* Returns the upper bound of the bucket. */
   static Duration UpperEnd(std::size_t aBucket);
 
@@ -32,7 +32,7 @@
   Duration Percentile(std::uint32_t aPercentile) const;
 
 private:
-  std::array<std::uint32_t, kBuckets> mCounts{};
+  std::array<std::uint32_t, kBuckets> mReplicaCountPolicies{};
   std::uint32_t mTotal = 0;
 };
 
@@ -55,13 +55,15 @@
 };
 
 /* Returns whether a replica that has been idle for this time stays loaded. */
-bool IsWorthHolding(const KeepAlivePolicy& aPolicy, const KeepAliveInput& aInput, Duration aIdle);
+bool ShouldKeepLoaded(const KeepAlivePolicy& aPolicy,
+                      const KeepAliveInput& aInput,
+                      Duration aIdleTime);
 
 /* Returns whether an unloaded model that has been idle for this time is loaded before its next use.
  * Only the cost-aware policy preloads. */
-bool IsWorthPreloading(const KeepAlivePolicy& aPolicy,
-                       const KeepAliveInput& aInput,
-                       Duration aIdle);
+bool ShouldPreload(const KeepAlivePolicy& aPolicy,
+                   const KeepAliveInput& aInput,
+                   Duration aIdleTime);
 
 } // namespace rhubarbtrail
 
--- a/src/decision/scheduler/preload_policy.cpp
+++ b/src/decision/scheduler/preload_policy.cpp
@@ -6,43 +6,43 @@
 namespace {
 
 /* Interval between checks for models to preload. */
-constexpr Duration kPreloadInterval = 2s;
+constexpr Duration kPreloadCheckInterval = 2s;
 
 } // namespace
 
-void Cell::PreloadExpected(Context& aContext, const View& aView)
+void Cell::PreloadPredictedModels(Context& aContext, const View& aView)
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   if (service == nullptr || !std::holds_alternative<CostAwareKeepAlive>(service->keepAlive)) {
     return;
   }
-  if (mNextPreload > aContext.now()) {
-    aContext.WakeBy(mNextPreload);
+  if (mNextPreloadCheck > aContext.now()) {
+    aContext.WakeBy(mNextPreloadCheck);
     return;
   }
-  mNextPreload = aContext.now() + kPreloadInterval;
-  aContext.WakeBy(mNextPreload);
-  for (auto& [model, usage] : mUsage) {
+  mNextPreloadCheck = aContext.now() + kPreloadCheckInterval;
+  aContext.WakeBy(mNextPreloadCheck);
+  for (auto& [model, usage] : mModelUsage) {
     const auto spec = aView.configuration().models.find(model);
-    const bool isKnown =
+    const bool hasUsage =
       usage.isUsed && !usage.isPreloaded && spec != aView.configuration().models.end();
-    if (!isKnown || CountReplicas(aContext, aView, model) > 0) {
+    if (!hasUsage || CountReplicas(aContext, aView, model) > 0) {
       continue;
     }
-    const double share = static_cast<double>(spec->second.memory.value) /
-                         static_cast<double>(service->runnerMemory.value);
+    const double memoryShare = static_cast<double>(spec->second.memory.value) /
+                               static_cast<double>(service->runnerMemory.value);
     const Duration idleWhenLoaded = aContext.now() - usage.lastUsed + spec->second.expectedLoad;
-    const KeepAliveInput input{ usage, mCellIdleTimes, spec->second.expectedLoad, share };
-    if (!IsWorthPreloading(service->keepAlive, input, idleWhenLoaded)) {
+    const KeepAliveInput input{ usage, mCellIdleTimes, spec->second.expectedLoad, memoryShare };
+    if (!ShouldPreload(service->keepAlive, input, idleWhenLoaded)) {
       continue;
     }
-    // Demands take precedence. A preload leaves a load slot free, and TryPlace() does not use
-    // memory that is being freed for another model.
-    const bool isStoreFree = LoadsInFlight() + 1 < service->store.concurrentLoads;
-    if (!mDemands.empty() || !isStoreFree || !TakeLoadToken(aContext, *service)) {
+    // Demands take precedence. A preload leaves a load slot free, and TryPlaceReplica() does not
+    // use memory that is being freed for another model.
+    const bool hasFreeLoadSlot = LoadsInFlight() + 1 < service->store.concurrentLoads;
+    if (!mDemands.empty() || !hasFreeLoadSlot || !TakeLoadToken(aContext, *service)) {
       return;
     }
-    if (!TryPlace(aContext, aView, spec->second)) {
+    if (!TryPlaceReplica(aContext, aView, spec->second)) {
       mLoadTokens += 1.0;
       continue;
     }
--- a/src/decision/scheduler/replica_count_policy.cpp
+++ b/src/decision/scheduler/replica_count_policy.cpp
@@ -8,17 +8,18 @@
 namespace {
 
 /* Time for which requests must exceed the capacity of the replicas before one is added. */
-constexpr Duration kGrowAfter = 2s;
+constexpr Duration kScaleUpDelay = 2s;
 /* Time for which one replica fewer must be sufficient before one is removed. */
-constexpr Duration kShrinkAfter = 60s;
+constexpr Duration kScaleDownDelay = 60s;
 /* A replica is removed only while the requests stay below this share of the concurrency of the
  * remaining ones. */
-constexpr double kShrinkUtilisation = 0.5;
+constexpr double kScaleDownUtilisation = 0.5;
 /* Interval between updates of the target numbers. */
-constexpr Duration kUpdateInterval = 1s;
+constexpr Duration kCountUpdateInterval = 1s;
 
-/* Returns whether a condition has held for aTime, and keeps the start of that time in aSince. */
-bool HasHeld(std::optional<TimePoint>& aSince, bool aHolds, TimePoint aNow, Duration aTime)
+/* Returns whether a condition has held for aDuration, and keeps the start of that time in aSince.
+ */
+bool HasHeldFor(std::optional<TimePoint>& aSince, bool aHolds, TimePoint aNow, Duration aDuration)
 {
   if (!aHolds) {
     aSince.reset();
@@ -27,55 +28,55 @@
   if (!aSince) {
     aSince = aNow;
   }
-  return aNow - *aSince >= aTime;
+  return aNow - *aSince >= aDuration;
 }
 
 } // namespace
 
-void ReplicaCount::Report(const DaemonId& aRouter,
-                          const AdapterId& aAdapter,
-                          std::uint32_t aRequests,
-                          TimePoint aExpires)
+void ReplicaCountPolicy::RecordRequests(const DaemonId& aRouter,
+                                        const AdapterId& aAdapter,
+                                        std::uint32_t aRequestCount,
+                                        TimePoint aExpiresAt)
 {
-  mUses[{ aRouter, aAdapter }] = { aRequests, aExpires };
+  mRouterRequests[{ aRouter, aAdapter }] = { aRequestCount, aExpiresAt };
 }
 
-void ReplicaCount::Adopt(std::uint32_t aReplicas)
+void ReplicaCountPolicy::RaiseTarget(std::uint32_t aReplicas)
 {
-  mDecided = std::max(mDecided, aReplicas);
+  mTarget = std::max(mTarget, aReplicas);
 }
 
-std::uint32_t ReplicaCount::Update(TimePoint aNow, const ReplicaCountLimits& aLimits)
+std::uint32_t ReplicaCountPolicy::UpdateTarget(TimePoint aNow, const ReplicaCountLimits& aLimits)
 {
-  std::erase_if(mUses, [&](const auto& aItem) { return aItem.second.expires <= aNow; });
+  std::erase_if(mRouterRequests, [&](const auto& aItem) { return aItem.second.expiresAt <= aNow; });
   std::uint64_t requests = 0;
-  for (const auto& [router, use] : mUses) {
-    requests += use.requests;
+  for (const auto& [router, routerRequests] : mRouterRequests) {
+    requests += routerRequests.requests;
   }
-  const std::uint64_t capacity = std::uint64_t{ aLimits.concurrency } * mDecided;
-  const double spare = kShrinkUtilisation * aLimits.concurrency * (mDecided - 1);
-  const bool isShort = requests > capacity && mDecided < aLimits.maximum;
-  const bool isSpare = mDecided > 1 && static_cast<double>(requests) < spare;
-  if (mDecided > aLimits.maximum) {
-    --mDecided; // The configured maximum was lowered.
-  } else if (HasHeld(mShortSince, isShort, aNow, kGrowAfter)) {
-    ++mDecided;
-    mShortSince.reset();
-  } else if (HasHeld(mSpareSince, isSpare, aNow, kShrinkAfter)) {
-    --mDecided;
-    mSpareSince.reset();
+  const std::uint64_t capacity = std::uint64_t{ aLimits.concurrency } * mTarget;
+  const double scaleDownThreshold = kScaleDownUtilisation * aLimits.concurrency * (mTarget - 1);
+  const bool hasShortage = requests > capacity && mTarget < aLimits.maximum;
+  const bool hasSurplus = mTarget > 1 && static_cast<double>(requests) < scaleDownThreshold;
+  if (mTarget > aLimits.maximum) {
+    --mTarget; // The configured maximum was lowered.
+  } else if (HasHeldFor(mShortageSince, hasShortage, aNow, kScaleUpDelay)) {
+    ++mTarget;
+    mShortageSince.reset();
+  } else if (HasHeldFor(mSurplusSince, hasSurplus, aNow, kScaleDownDelay)) {
+    --mTarget;
+    mSurplusSince.reset();
   }
-  mDecided = std::max(1U, mDecided);
-  return mDecided;
+  mTarget = std::max(1U, mTarget);
+  return mTarget;
 }
 
-std::uint32_t Cell::DecidedReplicas(const ModelId& aModel) const
+std::uint32_t Cell::TargetReplicas(const ModelId& aModel) const
 {
-  const auto found = mCounts.find(aModel);
-  return found == mCounts.end() ? 1 : found->second.decided();
+  const auto found = mReplicaCountPolicies.find(aModel);
+  return found == mReplicaCountPolicies.end() ? 1 : found->second.target();
 }
 
-bool Cell::AreAllLoaded(const ModelId& aModel) const
+bool Cell::AreAllReplicasLoaded(const ModelId& aModel) const
 {
   return std::all_of(mRunners.begin(), mRunners.end(), [&](const auto& aItem) {
     const auto found = aItem.second.replicas.find(aModel);
@@ -85,37 +86,37 @@
 
 void Cell::UpdateReplicaCounts(Context& aContext, const View& aView)
 {
-  const ServiceSpec* service = Service(aView);
-  if (service == nullptr || mCounts.empty()) {
+  const ServiceSpec* service = FindServiceSpec(aView);
+  if (service == nullptr || mReplicaCountPolicies.empty()) {
     return;
   }
   if (mNextCountUpdate > aContext.now()) {
     aContext.WakeBy(mNextCountUpdate);
     return;
   }
-  mNextCountUpdate = aContext.now() + kUpdateInterval;
+  mNextCountUpdate = aContext.now() + kCountUpdateInterval;
   aContext.WakeBy(mNextCountUpdate);
-  for (auto& [model, count] : mCounts) {
+  for (auto& [model, policy] : mReplicaCountPolicies) {
     const auto spec = aView.configuration().models.find(model);
     // While a replica is being loaded or unloaded, the demand does not show how many replicas are
     // needed.
-    if (spec == aView.configuration().models.end() || !AreAllLoaded(model)) {
+    if (spec == aView.configuration().models.end() || !AreAllReplicasLoaded(model)) {
       continue;
     }
-    const std::uint32_t present = CountReplicas(aContext, aView, model);
-    count.Adopt(std::min(present, spec->second.maxReplicas));
-    const std::uint32_t decided =
-      count.Update(aContext.now(), { spec->second.maxReplicas, service->endpointConcurrency });
-    LoadSharedAdapters(aContext, aView, model);
-    if (present > decided) {
-      GiveUpReplica(aContext, aView, model);
-    } else if (present > 0 && present < decided) {
+    const std::uint32_t currentReplicas = CountReplicas(aContext, aView, model);
+    policy.RaiseTarget(std::min(currentReplicas, spec->second.maxReplicas));
+    const std::uint32_t target = policy.UpdateTarget(
+      aContext.now(), { spec->second.maxReplicas, service->endpointConcurrency });
+    ReplicateAdapters(aContext, aView, model);
+    if (currentReplicas > target) {
+      DrainSurplusReplica(aContext, aView, model);
+    } else if (currentReplicas > 0 && currentReplicas < target) {
       AddReplica(aContext, aView, spec->second);
     }
   }
 }
 
-void Cell::LoadSharedAdapters(Context& aContext, const View& aView, const ModelId& aModel)
+void Cell::ReplicateAdapters(Context& aContext, const View& aView, const ModelId& aModel)
 {
   std::set<AdapterId> adapters;
   for (const auto& [id, runner] : mRunners) {
@@ -131,16 +132,17 @@
 
 void Cell::AddReplica(Context& aContext, const View& aView, const ModelSpec& aModel)
 {
-  const ServiceSpec* service = Service(aView);
+  const ServiceSpec* service = FindServiceSpec(aView);
   // OnWake() serves the demands first, so the first replicas of other models get load slots and
   // tokens before an additional replica of this model.
-  const bool isStoreFree = LoadsInFlight() < service->store.concurrentLoads;
-  if (isStoreFree && TakeLoadToken(aContext, *service) && !TryPlace(aContext, aView, aModel)) {
+  const bool hasFreeLoadSlot = LoadsInFlight() < service->store.concurrentLoads;
+  if (hasFreeLoadSlot && TakeLoadToken(aContext, *service) &&
+      !TryPlaceReplica(aContext, aView, aModel)) {
     mLoadTokens += 1.0;
   }
 }
 
-void Cell::GiveUpReplica(Context& aContext, const View& aView, const ModelId& aModel)
+void Cell::DrainSurplusReplica(Context& aContext, const View& aView, const ModelId& aModel)
 {
   Runner* busiest = nullptr;
   for (auto& [id, runner] : mRunners) {
@@ -148,9 +150,9 @@
     if (found == runner.replicas.end()) {
       continue;
     }
-    const bool isUnloadable =
+    const bool mayBeUnloaded =
       !found->second.isReserved && found->second.unloadableFrom <= aContext.now();
-    if (isUnloadable && (busiest == nullptr || runner.reportedLoad > busiest->reportedLoad)) {
+    if (mayBeUnloaded && (busiest == nullptr || runner.reportedLoad > busiest->reportedLoad)) {
       busiest = &runner;
     }
   }
--- a/src/decision/scheduler/replica_count_policy_base.h
+++ b/src/decision/scheduler/replica_count_policy_base.h
@@ -20,37 +20,37 @@
 };
 
 /* Computes the target number of replicas of one model. */
-class ReplicaCount
+class ReplicaCountPolicy
 {
 public:
   /* Records how many requests a router has waiting or in flight for one adapter. The number counts
-   * until aExpires or the router's next report for that adapter. */
-  void Report(const DaemonId& aRouter,
-              const AdapterId& aAdapter,
-              std::uint32_t aRequests,
-              TimePoint aExpires);
+   * until aExpiresAt or the router's next report for that adapter. */
+  void RecordRequests(const DaemonId& aRouter,
+                      const AdapterId& aAdapter,
+                      std::uint32_t aRequestCount,
+                      TimePoint aExpiresAt);
 
   /* Raises the target to the replicas that exist, which a former holder may have added. */
-  void Adopt(std::uint32_t aReplicas);
+  void RaiseTarget(std::uint32_t aReplicas);
 
   /* Changes the target by at most one and returns it. It rises after the requests have exceeded the
    * capacity of the replicas for a short time, and falls after one replica fewer has been
    * sufficient for a long time. */
-  std::uint32_t Update(TimePoint aNow, const ReplicaCountLimits& aLimits);
+  std::uint32_t UpdateTarget(TimePoint aNow, const ReplicaCountLimits& aLimits);
 
-  std::uint32_t decided() const { return mDecided; }
+  std::uint32_t target() const { return mTarget; }
 
 private:
-  struct Use
+  struct RouterRequests
   {
     std::uint32_t requests = 0;
-    TimePoint expires{};
+    TimePoint expiresAt{};
   };
 
-  std::map<std::pair<DaemonId, AdapterId>, Use> mUses;
-  std::uint32_t mDecided = 1;
-  std::optional<TimePoint> mShortSince;
-  std::optional<TimePoint> mSpareSince;
+  std::map<std::pair<DaemonId, AdapterId>, RouterRequests> mRouterRequests;
+  std::uint32_t mTarget = 1;
+  std::optional<TimePoint> mShortageSince;
+  std::optional<TimePoint> mSurplusSince;
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/scheduler/scheduler.cpp
+++ b/src/decision/scheduler/scheduler.cpp
@@ -80,21 +80,21 @@
       cell->second.OnIsolationRelease(aContext, aView, *release);
     }
   } else if (const auto* withdraw = std::get_if<WithdrawOrderMessage>(&aReceived.message)) {
-    OnWithdraw(aContext, aView, from, *withdraw);
+    OnWithdrawOrder(aContext, aView, from, *withdraw);
   }
 }
 
-void Scheduler::OnWithdraw(Context& aContext,
-                           const View& aView,
-                           const DaemonId& aFrom,
-                           const WithdrawOrderMessage& aWithdraw)
+void Scheduler::OnWithdrawOrder(Context& aContext,
+                                const View& aView,
+                                const DaemonId& aFrom,
+                                const WithdrawOrderMessage& aWithdraw)
 {
   if (aWithdraw.issuer != aContext.self()) {
     return;
   }
   const auto cell = mCells.find(aWithdraw.cell);
   if (cell != mCells.end()) {
-    cell->second.OnWithdraw(aContext, aWithdraw.order);
+    cell->second.OnWithdrawOrder(aContext, aWithdraw.order);
   }
   if (mOrdersInFlight.contains(aWithdraw.order)) {
     return; // The result is still open. The new holder repeats its message.
@@ -115,7 +115,7 @@
 void Scheduler::HandOver(Context& aContext, const View& aView)
 {
   for (auto& [id, cell] : mCells) {
-    cell.HandOver(aContext, aView);
+    cell.ReleaseLease(aContext, aView);
   }
 }
 
@@ -135,7 +135,7 @@
 void Cell::Dump(std::vector<DumpEntry>& aOut) const
 {
   const std::string path = "cells." + mId.str();
-  aOut.push_back({ path + ".held", IsHeld() ? "yes" : "no" });
+  aOut.push_back({ path + ".held", HoldsLease() ? "yes" : "no" });
   aOut.push_back({ path + ".holder", mHolder.daemon.str() });
   aOut.push_back({ path + ".fence", std::to_string(mFence.value) });
   aOut.push_back({ path + ".demands", std::to_string(mDemands.size()) });
--- a/src/decision/scheduler/scheduler_base.h
+++ b/src/decision/scheduler/scheduler_base.h
@@ -33,10 +33,10 @@
 private:
   void SyncCells(const View& aView);
   /* Confirms the withdrawal of an order of this process, unless the order is still in flight. */
-  void OnWithdraw(Context& aContext,
-                  const View& aView,
-                  const DaemonId& aFrom,
-                  const WithdrawOrderMessage& aWithdraw);
+  void OnWithdrawOrder(Context& aContext,
+                       const View& aView,
+                       const DaemonId& aFrom,
+                       const WithdrawOrderMessage& aWithdraw);
 
   std::map<CellId, Cell> mCells;
   std::multiset<OrderId> mOrdersInFlight; ///< One order can be in flight more than once.
--- a/tests/unit/keep_alive_test.cpp
+++ b/tests/unit/keep_alive_test.cpp
@@ -69,8 +69,8 @@
     CAPTURE(row.name);
     const ModelUsage usage = UsageOf(row.idleTimes);
     const KeepAliveInput input{ usage, cell, 10s, 0.2 };
-    CHECK(IsWorthHolding(row.policy, input, row.idle) == row.isHeld);
-    CHECK(IsWorthPreloading(row.policy, input, row.idle) == row.isPreloaded);
+    CHECK(ShouldKeepLoaded(row.policy, input, row.idle) == row.isHeld);
+    CHECK(ShouldPreload(row.policy, input, row.idle) == row.isPreloaded);
   }
 }
 
@@ -82,7 +82,7 @@
   }
   const ModelUsage fresh;
   const KeepAliveInput input{ fresh, cell, 10s, 0.2 };
-  CHECK_FALSE(IsWorthHolding(CostAwareKeepAlive{}, input, 20s));
+  CHECK_FALSE(ShouldKeepLoaded(CostAwareKeepAlive{}, input, 20s));
 }
 
 TEST_CASE("a higher weight never holds less")
@@ -93,7 +93,7 @@
   for (Duration idle = 1s; idle < 4h; idle *= 2) {
     bool wasHeld = false;
     for (const double weight : { 0.1, 1.0, 10.0, 100.0 }) {
-      const bool isHeld = IsWorthHolding(CostAwareKeepAlive{ weight }, input, idle);
+      const bool isHeld = ShouldKeepLoaded(CostAwareKeepAlive{ weight }, input, idle);
       CHECK((isHeld || !wasHeld));
       wasHeld = isHeld;
     }
--- a/tests/unit/replica_count_test.cpp
+++ b/tests/unit/replica_count_test.cpp
@@ -14,7 +14,7 @@
     const char* name;
     std::vector<std::uint32_t> requests; ///< Reported each second.
     std::uint32_t maximum;
-    std::uint32_t decided; ///< In the end.
+    std::uint32_t target; ///< In the end.
   };
   const std::vector<std::uint32_t> calm(200, 5);
   std::vector<std::uint32_t> peak(10, 100);
@@ -35,42 +35,42 @@
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
-    ReplicaCount count;
+    ReplicaCountPolicy policy;
     TimePoint now{};
     for (const std::uint32_t requests : row.requests) {
       now += 1s;
-      count.Report(DaemonId{ "d0" }, {}, requests, now + 10s);
-      const std::uint32_t before = count.decided();
-      const std::uint32_t after = count.Update(now, { row.maximum, 16 });
+      policy.RecordRequests(DaemonId{ "d0" }, {}, requests, now + 10s);
+      const std::uint32_t before = policy.target();
+      const std::uint32_t after = policy.UpdateTarget(now, { row.maximum, 16 });
       CHECK(after <= row.maximum);
       CHECK(after <= before + 1);
     }
-    CHECK(count.decided() == row.decided);
+    CHECK(policy.target() == row.target);
   }
 }
 
 TEST_CASE("reports of several routers add up and run out")
 {
-  ReplicaCount count;
+  ReplicaCountPolicy policy;
   TimePoint now{};
   for (int second = 0; second < 5; ++second) {
     now += 1s;
-    count.Report(DaemonId{ "d0" }, {}, 10, now + 10s);
-    count.Report(DaemonId{ "d1" }, {}, 10, now + 10s);
-    count.Update(now, { 4, 16 });
+    policy.RecordRequests(DaemonId{ "d0" }, {}, 10, now + 10s);
+    policy.RecordRequests(DaemonId{ "d1" }, {}, 10, now + 10s);
+    policy.UpdateTarget(now, { 4, 16 });
   }
-  CHECK(count.decided() == 2);
+  CHECK(policy.target() == 2);
   for (int second = 0; second < 120; ++second) {
     now += 1s;
-    count.Update(now, { 4, 16 });
+    policy.UpdateTarget(now, { 4, 16 });
   }
-  CHECK(count.decided() == 1);
+  CHECK(policy.target() == 1);
 }
 
 TEST_CASE("a new holder adopts the replicas that it finds")
 {
-  ReplicaCount count;
-  count.Adopt(3);
-  CHECK(count.Update(TimePoint{} + 1s, { 4, 16 }) == 3);
-  CHECK(count.Update(TimePoint{} + 2s, { 2, 16 }) == 2);
+  ReplicaCountPolicy policy;
+  policy.RaiseTarget(3);
+  CHECK(policy.UpdateTarget(TimePoint{} + 1s, { 4, 16 }) == 3);
+  CHECK(policy.UpdateTarget(TimePoint{} + 2s, { 2, 16 }) == 2);
 }
