--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -38,20 +38,19 @@
   ReplicaPhase phase = ReplicaPhase::kLoadDecided;
   OrderId order;                ///< The load order, replaced by the unload order in kUnloadDecided.
   Incarnation issuer;           ///< The daemon process that decided on the order.
-  bool isIntentWritten = false; ///< The order is in the placement row of the table.
+  bool isIntentWritten = false; ///< The placement row has the order, or none has to be sent.
   bool isReserved = false;      ///< An order of a former holder may still reach the runner.
-  bool isOrderConfirmed = false;     ///< Confirmed by an answer of the runner or by an inventory.
-  bool mayHaveReachedRunner = false; ///< The order may have reached the runner.
+  bool isOrderConfirmed = false; ///< Confirmed by an answer of the runner or by an inventory.
+  bool mayHaveReachedRunner = false;
   TimePoint orderConfirmedAt{};
   TimePoint nextSendAt{}; ///< Earliest time to send the order or to repeat the drain messages.
   TimePoint lastUsed{};
   TimePoint unloadableFrom{}; ///< Until then, routers that a former holder informed may use it.
   std::set<AdapterId> adapters;
   std::map<AdapterId, TimePoint> adapterRetryAt;  ///< Adapter to the time to repeat its load order.
-  std::map<DaemonId, TimePoint>
-    permittedRouters; ///< Router to the end of its permission to use it.
-  bool isFinalInventoryRequested =
-    false;                   ///< The final inventory before the unload order was requested.
+  std::map<DaemonId, TimePoint> permittedRouters; ///< Router to the end of its permission.
+  /* The final inventory before the unload order was requested. */
+  bool isFinalInventoryRequested = false;
   std::uint32_t running = 0; ///< Requests in flight, from the last inventory that listed the model.
   /* Only an inventory that was requested at or after this time can show that no request is left. */
   TimePoint idleCheckFrom{};
@@ -83,8 +82,7 @@
 /* The demand of all routers for one artifact, merged so that it leads to one load. */
 struct PendingDemand
 {
-  std::set<DaemonId>
-    waitingRouters;          ///< Routers that get a reply when the artifact is loaded or refused.
+  std::set<DaemonId> waitingRouters; ///< They get a reply when the artifact is loaded or refused.
   TimePoint deadline{};              ///< Demands with earlier deadlines are served first.
   TimePoint expiresAt{};             ///< Dropped at this time unless a router repeats its demand.
   std::uint32_t waiting = 0; ///< Largest number of waiting requests that one message has stated.
@@ -101,12 +99,12 @@
   TimePoint expiresAt{}; ///< Dropped at this time unless the router repeats it.
 };
 
-/* A runner reserved for one suspect. No other request may run there. */
+/* A runner that is drained and then granted to one suspect. */
 struct Isolation
 {
   IsolationRequest isolationRequest;
   EndpointId runner;
-  bool isGranted = false;  ///< All routers have stopped using the runner.
+  bool isGranted = false;  ///< The runner is drained, and the suspect may be sent there.
   TimePoint until{};       ///< End of the grant. Unset before it.
   TimePoint nextDrainAt{}; ///< When drain messages to the remaining routers are due.
 };
@@ -182,7 +180,7 @@
   std::uint32_t CountReplicas(const Context& aContext,
                               const View& aView,
                               const ModelId& aModel) const;
-  /* Returns the memory left for aPlacedModel, after all replicas and the plans for other models. */
+  /* Returns the memory left for aPlacedModel beside the replicas and the plans for other models. */
   MemoryMb FreeMemory(const Context& aContext,
                       const View& aView,
                       const Runner& aRunner,
@@ -197,7 +195,8 @@
   static void RequestIdleCheck(const Context& aContext, Runner& aRunner, Replica& aReplica);
   /* Repeats drain messages, and decides on the unload of replicas that have no request left. */
   void ContinueDrains(Context& aContext, const View& aView);
-  /* Drains replicas that the keep-alive policy no longer retains. */
+  /* Drains replicas that the keep-alive policy no longer retains, and those of models that are no
+   * longer configured. */
   void DrainIdleReplicas(Context& aContext, const View& aView);
   void PreloadPredictedModels(Context& aContext, const View& aView);
   void RecordUse(const Context& aContext, const DemandMessage& aDemand);
@@ -257,10 +256,12 @@
    * bucket is empty. */
   bool TakeLoadToken(const Context& aContext, const ServiceSpec& aService);
   std::uint32_t LoadsInFlight() const;
+  /* Counts adapter loads that are in flight or wait for a retry. */
   std::uint32_t AdapterLoadsInFlight() const;
   /* Orders the adapter on the first replica of its model that lacks it. */
   void LoadAdapter(Context& aContext, const View& aView, const Artifact& aArtifact);
-  /* Permits the router to use the replicas that have the artifact, and returns their locations. */
+  /* Permits the router to use the loaded replicas that have the artifact, except on isolated or
+   * unusable runners, and returns their locations. */
   std::vector<ReplicaLocation> GrantLocations(Context& aContext,
                                               const View& aView,
                                               const Artifact& aArtifact,
@@ -288,7 +289,7 @@
 
   CellId mId;
   LeasePhase mPhase = LeasePhase::kNotHeld;
-  Incarnation mHolder; ///< As last read, or this daemon.
+  Incarnation mHolder; ///< As last read, or this daemon. Empty when unknown or none.
   Fence mFence;
   std::uint64_t mRenewals = 0;
   RowVersion mLeaseVersion;
@@ -312,13 +313,12 @@
   TimePoint mNextCountUpdate{};
   std::map<EndpointId, Runner> mRunners;
   std::map<Artifact, PendingDemand> mDemands;
-  std::map<ModelId, EndpointId>
-    mPlannedRunners; ///< Model to the runner where memory is freed for it.
+  std::map<ModelId, EndpointId> mPlannedRunners; ///< Where memory is being freed for a model.
   std::map<ModelId, ModelUsage> mModelUsage;
   std::deque<IsolationRequest> mQueuedIsolations;
   std::optional<Isolation> mIsolation;
-  std::map<ModelId, ReplicaCountPolicy>
-    mReplicaCountPolicies;      ///< Only of models that may have several replicas.
+  /* Only for models that may have several replicas. */
+  std::map<ModelId, ReplicaCountPolicy> mReplicaCountPolicies;
   IdleHistogram mCellIdleTimes; ///< Idle times of all models of the cell.
   double mLoadTokens = 1.0;     ///< Tokens left in the bucket that limits loads.
   TimePoint mLoadTokensUpdatedAt{};
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -304,6 +304,8 @@
     if (model != aView.configuration().models.end()) {
       replica.memory = ReservedMemory(model->second);
     }
+    // A runner that does not check the fencing token may still carry out an order that a former
+    // holder has sent, so the memory stays reserved until the order cannot arrive any more.
     replica.isReserved = AreOrdersUnchecked(aView) && entry.issuer != aContext.self() &&
                          entry.state != PlacementState::kLoaded &&
                          aContext.IsEnabled(Mechanism::kReservedIntent);
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -355,7 +355,8 @@
       continue;
     }
     // Once a runner that checks the fencing token has answered an order of this term, it rejects
-    // all orders of former holders. A load of theirs that is not listed then never happens.
+    // all orders of former holders. A load of theirs that is not listed then never happens. A
+    // loaded replica has no load order in flight.
     const bool areOrdersChecked = !AreOrdersUnchecked(aView);
     const bool isKnownMissing =
       isFromFormerHolder && (areOrdersChecked || replica.phase == ReplicaPhase::kLoaded);
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -246,7 +246,7 @@
       if (hadPermittedRouters && replica.permittedRouters.empty()) {
         RequestIdleCheck(aContext, runner, replica);
       }
-      // After a takeover, routers that a former holder informed are not in the list of users. The
+      // After a takeover, routers that a former holder informed are not in permittedRouters. The
       // inventory still shows their requests.
       if (replica.permittedRouters.empty() &&
           (InventoryShowsIdle(runner, replica) ||
--- a/src/decision/scheduler/keep_alive.cpp
+++ b/src/decision/scheduler/keep_alive.cpp
@@ -36,9 +36,10 @@
                         : std::max(percentileLimit, aPolicy.minimum));
 }
 
-/* Returns the ratio of the expected cold-start time saved to the expected memory time spent if the
- * replica is kept from idle time aIdleTime on, for the end of keeping that gives the highest ratio.
- * From 1 on, keeping the replica is worth its cost. */
+/* Returns the ratio of the weighted cold-start time that is saved to the weighted memory time that
+ * is spent, both as expected values, if the replica is kept from idle time aIdleTime on. Of all
+ * bucket ends until which it could be kept, the one with the highest ratio counts. At 1 or more,
+ * keeping the replica is worth its cost. */
 double KeepAliveBenefitRatio(const CostAwareKeepAlive& aPolicy,
                              const KeepAliveInput& aInput,
                              Duration aIdleTime)
--- a/src/decision/scheduler/replica_count_policy.cpp
+++ b/src/decision/scheduler/replica_count_policy.cpp
@@ -17,8 +17,7 @@
 /* Interval between updates of the target numbers. */
 constexpr Duration kCountUpdateInterval = 1s;
 
-/* Returns whether a condition has held for aDuration, and keeps the start of that time in aSince.
- */
+/* Returns whether a condition has held for aDuration. Keeps the start of that time in aSince. */
 bool HasHeldFor(std::optional<TimePoint>& aSince, bool aHolds, TimePoint aNow, Duration aDuration)
 {
   if (!aHolds) {
