--- a/src/decision/router/claim.cpp
+++ b/src/decision/router/claim.cpp
@@ -1,4 +1,4 @@
-/* Group commit of claims. */
+/* Group commit of claims: one table transaction writes many of them. */
 #include "decision/router/claim_base.h"
 
 #include <algorithm>
@@ -8,13 +8,13 @@
 
 namespace {
 
-/* Longest wait for a claim before the request is refused as not run. */
+/* Time without a claim result after which the request is refused as not run. */
 constexpr Duration kClaimTimeout = 2s;
-/* Time between the starts of two transactions under load, so that claims gather in groups. */
+/* Least time between the starts of two transactions under load, so that batches become larger. */
 constexpr Duration kCommitSpacing = 20ms;
-/* Claims in a transaction from which on the next one waits. */
+/* Batch size from which on the next transaction is delayed by kCommitSpacing. */
 constexpr std::size_t kGroupSize = 4;
-/* Transactions without an answer after which a stopping daemon waits no longer. */
+/* Consecutive transactions with an unknown outcome after which a daemon may stop. */
 constexpr std::uint32_t kShutdownFailures = 10;
 
 } // namespace
@@ -92,7 +92,7 @@
     if (!wasSent) {
       Erase(aRequest);
     }
-    // Otherwise the insertion may still take effect: it is settled first, and released then.
+    // Otherwise the insertion may still take effect. SettleInsert() releases the claim when it has.
     return;
   }
   entry.step = Step::kRelease;
@@ -125,7 +125,8 @@
       entry.row.state = ClaimState::kReleased;
     }
     transaction.conditions.push_back({ entry.key, entry.version });
-    // A row that is deleted could be inserted again by a write that lands late.
+    // After a deletion an insertion that takes effect late would succeed. While one is possible,
+    // the row is kept and marked as released instead.
     const bool isDeleted = entry.step == Step::kRelease && !entry.mayLand;
     transaction.writes.push_back(
       { entry.key, isDeleted ? std::nullopt : std::optional<RowValue>{ entry.row } });
@@ -167,7 +168,7 @@
     SettleInsert(aRequest, entry, row, aOut);
     return;
   }
-  // An ending: it is written when the row says so, and otherwise written again.
+  // The write of an end or a release is repeated until the row has its state.
   const bool isWritten = !isOurs || row->state == entry.row.state;
   if (!isWritten) {
     Queue(aRequest, entry);
@@ -233,8 +234,10 @@
       Settle(request, *row, verdicts);
     }
   }
-  // What is unknown, or held up by another row's conflict, goes first in the next batch: so no
-  // more than one batch of insertions can land late. A write that has landed finds its own row.
+  // Claims go first in the next batch if their outcome is unknown or if the transaction failed
+  // because of other rows. So at most one batch of insertions can take effect late. A repeated
+  // insertion whose first write took effect fails its condition, and the table returns the claim's
+  // own row.
   for (auto request = batch.rbegin(); request != batch.rend(); ++request) {
     const auto found = mEntries.find(*request);
     const bool isSettled =
--- a/src/decision/router/claim_base.h
+++ b/src/decision/router/claim_base.h
@@ -1,4 +1,5 @@
-/* Claims: the right to run a non-idempotent request, taken in the table in groups. */
+/* Claims: table rows, one for each idempotency key of a customer. A request must hold the claim of
+ * its key before it is sent, so that an at-most-once request runs at most once. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_CLAIM_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_CLAIM_BASE_H
 
@@ -12,62 +13,64 @@
 
 namespace rhubarbtrail {
 
-/* What came of asking for a claim. */
+/* The result of requesting a claim. */
 enum class ClaimOutcome : std::uint8_t
 {
   kGranted,
-  kInProgress,  ///< Another request with the key is under way on this daemon.
-  kHeld,        ///< Another request with the key is claimed and may be running.
-  kDone,        ///< The key's request has run; its answer is stored.
-  kUnknown,     ///< The key's request was sent, and its outcome is unknown.
-  kReused,      ///< The key belongs to another request body.
-  kUnavailable, ///< The table cannot be reached; nothing was sent.
+  kInProgress,  ///< This daemon has another unfinished claim for the key.
+  kHeld,        ///< Another request holds the claim and may be running.
+  kDone,        ///< The request with the key has run and its answer is stored.
+  kUnknown,     ///< The request with the key was sent and its outcome is unknown.
+  kReused,      ///< The key was used before with a different request body.
+  kUnavailable, ///< The table gave no answer in time. The request was not sent.
 };
 
 struct ClaimVerdict
 {
   RequestId request;
   ClaimOutcome outcome = ClaimOutcome::kGranted;
-  ClaimRow row; ///< The row found, when it is another request's.
+  ClaimRow row; ///< The row found, if it belongs to another request.
 };
 
-/* Whether more may become known of a claimed request after its end was recorded. */
+/* Whether another end of the same claim may be recorded later. */
 enum class ClaimEnd : std::uint8_t
 {
   kFinal,
-  kOpen, ///< The attempt is still running; its end follows.
+  kOpen, ///< The attempt is still running, and its end will be recorded too.
 };
 
-/* Batches claims and their endings into transactions, one under way at a time.
+/* Writes claims and their ends to the table in batches, with one transaction in flight at a time.
  *
- * State: one entry for each claim that was asked for and is not finished in the table. While the
- * table is down these are the requests in flight when it went down, those waiting for their
- * verdict for at most the claim timeout, and one batch whose insertion may still take effect. */
+ * There is one entry for each requested claim until its last write is confirmed. While the table is
+ * unavailable, this limits the entries to the requests that were in flight when the outage began,
+ * the claims that wait for a result, which takes at most the claim timeout, and one batch of
+ * insertions that may still take effect. */
 class ClaimBook
 {
 public:
-  /* Asks for the claim of a request. The verdict is returned when this daemon knows it already;
-   * otherwise it comes from OnResult() or OnWake(). */
+  /* Requests the claim for a request. Returns the result if this daemon has an entry for the key
+   * already. Otherwise OnResult() or OnWake() returns it later. */
   std::optional<ClaimVerdict> Ask(Context& aContext, const RequestArrived& aArrived);
 
-  /* Records the end of a claimed request: done with its answer, or unknown. */
+  /* Records the end of a claimed request: kDone with its answer, or kUnknown. */
   void Record(Context& aContext,
               const RequestId& aRequest,
               ClaimState aState,
               ClaimEnd aEnd,
               const AttemptEnded& aEnded);
 
-  /* Gives a claim back whose request was never sent. */
+  /* Releases the claim of a request that was never sent. */
   void Release(Context& aContext, const RequestId& aRequest);
 
-  /* Returns the verdicts that a transaction's result brings. */
+  /* Applies the result of a transaction and returns the claim results that follow from it. */
   std::vector<ClaimVerdict> OnResult(Context& aContext, const TransactionResult& aResult);
 
-  /* Gives up on claims whose transaction brought no answer in time. */
+  /* Returns kUnavailable for each claim without a result after the claim timeout. */
   std::vector<ClaimVerdict> OnWake(Context& aContext);
 
-  /* Returns whether nothing is left to write, or nothing that the table takes: a stopping daemon
-   * leaves such claims behind, and its death makes them of unknown outcome. */
+  /* Returns whether no claim is unfinished, or the table has not answered for so long that a
+   * stopping daemon leaves the unfinished claims behind. Once that daemon is proven dead, other
+   * daemons report the outcome of these claims as unknown. */
   bool IsIdle() const;
   std::size_t size() const { return mEntries.size(); }
 
@@ -75,7 +78,7 @@
   enum class Step : std::uint8_t
   {
     kInsert,
-    kGranted, ///< Nothing to write until the request ends.
+    kGranted, ///< The claim is in the table, and nothing is written until the request ends.
     kUpdate,
     kRelease,
   };
@@ -85,31 +88,33 @@
     ClaimRow row;
     RowVersion version;
     Step step = Step::kInsert;
-    bool isQueued = false; ///< Waits for its turn in a batch.
-    bool inBatch = false;
-    bool isAsked = true;  ///< Its verdict is still owed.
-    bool isOpen = false;  ///< Another ending may follow.
-    bool mayLand = false; ///< A write with an unknown outcome may take effect late.
+    bool isQueued = false; ///< In mWaiting, to be written in a later batch.
+    bool inBatch = false;  ///< Part of the transaction in flight.
+    bool isAsked = true;   ///< The caller still expects a result.
+    bool isOpen = false;   ///< The recorded end is not final.
+    bool mayLand = false;  ///< An earlier write with an unknown outcome may take effect late.
     TimePoint askedAt{};
   };
 
   void Queue(const RequestId& aRequest, Entry& aEntry);
   void Erase(const RequestId& aRequest);
   void Send(Context& aContext);
+  /* Compares an entry with the row that the table returned, and decides on its next write. */
   void Settle(const RequestId& aRequest, const Row& aRow, std::vector<ClaimVerdict>& aOut);
   void SettleInsert(const RequestId& aRequest,
                     Entry& aEntry,
                     const ClaimRow* aRow,
                     std::vector<ClaimVerdict>& aOut);
+  /* Returns the outcome of a claim whose key already has the row aFound. */
   static ClaimOutcome Judge(const ClaimRow& aFound, const ClaimRow& aOurs);
 
   std::unordered_map<RequestId, Entry> mEntries;
   std::unordered_map<RowKey, RequestId> mByKey;
   std::deque<RequestId> mWaiting;
   std::vector<RequestId> mBatch;
-  ChangeId mChange; ///< The transaction under way; empty when none.
+  ChangeId mChange; ///< The transaction in flight, or empty.
   TimePoint mNextSend{};
-  std::uint32_t mFailures = 0; ///< Transactions with an unknown outcome in a row.
+  std::uint32_t mFailures = 0; ///< Consecutive transactions with an unknown outcome.
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/fair_queue.cpp
+++ b/src/decision/router/fair_queue.cpp
@@ -1,4 +1,4 @@
-/* Start-time fair queueing among customers, earliest deadline first inside each. */
+/* Start-time fair queueing among customers, and earliest deadline first for each customer. */
 #include "decision/router/fair_queue_base.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-/* Customers remembered at most; beyond that, those with no lead are forgotten. */
+/* Customers with a stored virtual time, at most. Beyond that, those whose time is not ahead of the
+ * clock are erased, which changes nothing as StartOf() returns the clock's time for them. */
 constexpr std::size_t kRememberedCustomers = 65'536;
 
 } // namespace
--- a/src/decision/router/fair_queue_base.h
+++ b/src/decision/router/fair_queue_base.h
@@ -1,4 +1,4 @@
-/* Waiting requests: by priority, then fairly among customers, then by deadline. */
+/* Queue of waiting requests, ordered by priority, then fairly among customers, then by deadline. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_FAIR_QUEUE_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_FAIR_QUEUE_BASE_H
 
@@ -16,25 +16,25 @@
 
 namespace rhubarbtrail {
 
-/* What the queue must know of a request. */
+/* The properties of a request that decide its order in the queue. */
 struct QueuedRequest
 {
   RequestId request;
   CustomerId customer;
-  std::uint32_t weight = 1; ///< Share of the customer against others.
-  std::uint32_t priority = 1;
+  std::uint32_t weight = 1;   ///< Share of service of the customer, relative to other customers.
+  std::uint32_t priority = 1; ///< Lower values go first.
   TimePoint deadline{};
 };
 
-/* The virtual time of each customer: how much service it has had for its weight. One clock is
- * shared by all queues of a daemon, so that service on one model counts on another. */
+/* The virtual time of each customer, which is the service it has received divided by its weight.
+ * All queues of a daemon share one clock, so that service by one model counts for all models. */
 class FairClock
 {
 public:
   /* Returns the virtual time at which the customer's next request starts. */
   double StartOf(const CustomerId& aCustomer) const;
 
-  /* Charges the customer for one request that is being started. */
+  /* Advances the customer's virtual time by the cost of one request, which starts now. */
   void Charge(const CustomerId& aCustomer, std::uint32_t aWeight);
 
 private:
@@ -42,31 +42,34 @@
   double mNow = 0;
 };
 
-/* The waiting requests of one artifact or plain service. */
+/* The waiting requests for one artifact or plain service. */
 class FairQueue
 {
 public:
   void Push(const QueuedRequest& aRequest);
   void Remove(const QueuedRequest& aRequest);
 
-  /* Returns the request that goes next, or nothing. Costs one step for each waiting customer. */
+  /* Returns the request to start next, if any. Takes time linear in the number of customers that
+   * wait at the best priority. */
   std::optional<RequestId> Peek(const FairClock& aClock) const;
 
-  /* Returns the rank of the request that Peek() names; the smaller one goes first. */
+  /* Returns the priority and the virtual start time of the request that Peek() returns. Among
+   * several queues the one with the smallest rank goes first. */
   std::optional<std::pair<std::uint32_t, double>> BestRank(const FairClock& aClock) const;
 
-  /* Returns how many waiting requests go before this one if it is pushed now: those of higher
-   * priority, and of each customer as many as its weight allows while this customer's own
-   * requests go. */
+  /* Estimates how many waiting requests would start before this one if it were pushed now. These
+   * are all requests of higher priority, all of its own customer at its priority, and of each other
+   * customer at its priority as many as the ratio of the weights allows until it starts. */
   double CountAhead(const QueuedRequest& aRequest) const;
 
-  /* Returns the customer's request that would go last. */
+  /* Returns the customer's request of the lowest priority and, among these, the latest deadline. */
   std::optional<RequestId> LastOf(const CustomerId& aCustomer) const;
 
   bool empty() const { return mSize == 0; }
   std::size_t size() const { return mSize; }
+  /* Returns TimePoint::max() if the queue is empty. */
   TimePoint EarliestDeadline() const;
-  /* Returns the requests whose deadlines are before a time. */
+  /* Returns the requests with a deadline before aTime. */
   std::vector<RequestId> DueBefore(TimePoint aTime) const;
 
 private:
--- a/src/decision/router/quarantine.cpp
+++ b/src/decision/router/quarantine.cpp
@@ -1,11 +1,12 @@
-/* Bounded memory of suspicious requests. */
+/* Size limit and expiry of the sets of fingerprints. */
 #include "decision/router/quarantine_base.h"
 
 namespace rhubarbtrail {
 
 namespace {
 
-/* Fingerprints kept at most; beyond that, expired ones go, then no more are taken. */
+/* Most fingerprints in a set. At the limit expired ones are erased. If none is, new ones are
+ * ignored. */
 constexpr std::size_t kFingerprintLimit = 16'384;
 
 } // namespace
--- a/src/decision/router/quarantine_base.h
+++ b/src/decision/router/quarantine_base.h
@@ -1,4 +1,4 @@
-/* Suspicion and conviction of requests that crash endpoints. */
+/* Fingerprints of requests that are suspected of crashing endpoints or quarantined for it. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_QUARANTINE_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_QUARANTINE_BASE_H
 
@@ -9,7 +9,7 @@
 
 namespace rhubarbtrail {
 
-/* Remembers fingerprints for a time, within a bound. */
+/* A set of fingerprints with expiry times and a limited size. */
 class FingerprintSet
 {
 public:
@@ -23,7 +23,8 @@
   std::unordered_map<FingerprintId, TimePoint> mUntil;
 };
 
-/* Suspects run alone; those that crash an endpoint while alone are convicted. */
+/* Suspects run isolated. A suspect that crashes an endpoint while it runs isolated is quarantined:
+ * requests with its fingerprint are refused. */
 struct Quarantine
 {
   FingerprintSet suspects;
--- a/src/decision/router/retry_budget.cpp
+++ b/src/decision/router/retry_budget.cpp
@@ -1,4 +1,4 @@
-/* Retry budgets as token buckets that first attempts fill. */
+/* Retry budgets as token buckets that first attempts refill. */
 #include "decision/router/retry_budget_base.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* Buckets kept at most; beyond that, all start afresh. */
+/* Buckets above which all of them are erased and start full again. */
 constexpr std::size_t kBucketLimit = 65'536;
 
 std::string CustomerBucket(const CustomerId& aCustomer)
--- a/src/decision/router/retry_budget_base.h
+++ b/src/decision/router/retry_budget_base.h
@@ -1,4 +1,4 @@
-/* Retry budgets, so that retries cannot multiply an overload. */
+/* Retry budgets, which keep retries from multiplying an overload. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_RETRY_BUDGET_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_RETRY_BUDGET_BASE_H
 
@@ -12,10 +12,11 @@
 struct RetryBudgetOptions
 {
   double ratio = 0.2;  ///< Retries earned by each first attempt.
-  double burst = 10.0; ///< Retries that can be saved up.
+  double burst = 10.0; ///< Most retries that a budget can hold, and its initial value.
 };
 
-/* A bucket for each customer and each service: first attempts fill it, retries drain it. */
+/* Token buckets, one for each customer and one for each service. First attempts add tokens, and
+ * each retry takes one. */
 class RetryBudget
 {
 public:
@@ -23,7 +24,8 @@
                         const ServiceId& aService,
                         const RetryBudgetOptions& aOptions);
 
-  /* Takes one retry from both buckets, or none when either is empty. */
+  /* Takes one token from both buckets and returns true. Takes none and returns false if either
+   * bucket has less than one. */
   bool TakeRetry(const CustomerId& aCustomer,
                  const ServiceId& aService,
                  const RetryBudgetOptions& aOptions);
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -1,4 +1,5 @@
-/* An at-most-once request runs at most once, whatever the table and the daemons do. */
+/* An at-most-once request runs at most once when the table fails, loses answers or applies writes
+ * late, and when daemons die or stop. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +22,7 @@
   {
     const char* name;
     std::size_t daemon;
-    Duration pause; ///< Between the two; the first runs for 2 s.
+    Duration pause; ///< Time between the two requests. The first runs for 2 s.
     const char* fingerprint;
     bool firstDies;
     int code;
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -1,5 +1,5 @@
-/* Small customers beside large ones: the queue, the daemon's bound, and the estimate of the wait.
- */
+/* Customers with few requests are served beside one with many: queue order, queue limits and the
+ * estimate of the time to an answer. */
 #include "decision/router/fair_queue_base.h"
 #include "tests/unit/router_world.h"
 
@@ -50,7 +50,7 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 1s } };
   };
-  world.Ask({}); // Loads the model and shows how long a request takes.
+  world.Ask({}); // Loads the model and gives the router a service time.
   world.Run(3s);
   std::vector<RequestId> large;
   for (int index = 0; index < 200; ++index) {
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,5 @@
-/* A request that crashes runners is convicted after two crashes; the others in its batch are not.
- */
+/* A request that crashes runners is quarantined after two crashes. Other requests that were in
+ * flight on the same runners are not. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/* Runners that crash when they run the fingerprint "killer", with everything in flight there. */
+/* Runners that crash when they run one of `killers`. All requests in flight there fail, too. */
 struct Crashing
 {
   explicit Crashing(World& aWorld)
