--- a/src/decision/router/router.cpp
+++ b/src/decision/router/router.cpp
@@ -1,4 +1,4 @@
-/* Time, cancellations and changes of the view. */
+/* Parts of the router that handle timers, cancellations, changes of the view and state dumps. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -88,7 +88,8 @@
     if (IsPlain(target.artifact)) {
       continue;
     }
-    // Locations in use are refreshed before they run out; unused ones are forgotten.
+    // Replica locations in use are refreshed when half of their lifetime has passed. Unused ones
+    // expire.
     const TimePoint refresh = target.knownUntil - aContext.settings().replicaLifetime / 2;
     if (refresh > aContext.now()) {
       aContext.WakeBy(refresh);
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -1,4 +1,4 @@
-/* Which requests are taken, and how they enter the queue. */
+/* Admission of requests: checks on arrival, deadline estimates and queueing. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
                                                  const RequestArrived& aArrived) const
 {
   if (aView.readiness() == Readiness::kStopping && aContext.IsEnabled(Mechanism::kShutdownDrain)) {
-    // Requests on connections that were open already are still served.
+    // A stopping daemon still serves requests on connections that were already open.
   } else if (aView.readiness() != Readiness::kReady) {
     return ResultCode::kConfigurationStale;
   }
@@ -109,9 +109,11 @@
     slots += std::max(1U, replica.concurrency);
   }
   if (target.inFlight < slots) {
-    return {}; // It is tried, however long others took: that is how the mean stays current.
+    // With a free slot the request is started whatever the mean, because only completed attempts
+    // update the mean.
+    return {};
   }
-  // Slots that are taken free up one after the other, each after its share of the service time.
+  // Occupied slots are assumed to free up one after another, evenly spread over the service time.
   const double turns = (target.queue.CountAhead(aRequest.queued) + 1.0) / slots + 1.0;
   return Duration{ static_cast<std::int64_t>(turns *
                                              static_cast<double>(target.serviceTime.count())) };
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -1,4 +1,4 @@
-/* The router: takes a request from arrival to its one final answer. */
+/* The router admits, queues, dispatches and retries requests. Each gets one final answer. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_ROUTER_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_ROUTER_BASE_H
 
@@ -18,10 +18,11 @@
 
 namespace rhubarbtrail {
 
-/* Time to come back after a refusal when nothing better is known. */
+/* Retry-after time that a refusal names when no better estimate exists. */
 constexpr Duration kDefaultRetryAfter = 1s;
 
-/* Returns whether the artifact is empty: the calls of a plain service. */
+/* Returns whether the artifact names no model. Requests to a plain service, whose endpoints load no
+ * models, have such an artifact. */
 inline bool IsPlain(const Artifact& aArtifact)
 {
   return aArtifact.model.empty();
@@ -31,12 +32,12 @@
 {
   kClaiming,
   kQueued,
-  kIsolating, ///< A suspect that waits for a runner of its own.
+  kIsolating, ///< A suspect that waits until the holder reserves a runner for it.
   kInFlight,
-  kAbandoned, ///< The caller has its last word or has gone; the attempt has not ended yet.
+  kAbandoned, ///< Answered or cancelled, but its attempt has not ended yet.
 };
 
-/* One request between arrival and final answer. */
+/* One request from its arrival until its final answer or the end of its attempt, if later. */
 struct Request
 {
   RequestArrived arrived;
@@ -45,66 +46,71 @@
   RequestState state = RequestState::kQueued;
   TimePoint deadline{};
   AttemptNumber attempt;
-  EndpointId endpoint; ///< Of the attempt in flight.
+  EndpointId endpoint; ///< Endpoint of the attempt in flight, else empty.
   TimePoint startedAt{};
-  std::set<EndpointId> failed;
+  std::set<EndpointId> failed;       ///< Endpoints that may have run an attempt of this request.
   std::uint32_t sentAttempts = 0;    ///< Attempts that may have run.
-  std::uint32_t refusedAttempts = 0; ///< Attempts that certainly did not run.
-  std::uint32_t delivered = 0;       ///< Stream events that the caller has.
+  std::uint32_t refusedAttempts = 0; ///< Attempts that are known not to have run.
+  std::uint32_t delivered = 0;       ///< Stream events already delivered to the caller.
   bool mayHaveRun = false;
-  bool suspect = false;
-  std::uint64_t isolationAsk = 0; ///< Of the last request for a runner of its own.
+  bool suspect = false; ///< A request with its fingerprint was on an endpoint that crashed.
+  std::uint64_t isolationAsk = 0; ///< Number of the last isolation request sent.
   TimePoint isolationAskedAt{};
-  DaemonId isolatedBy;    ///< The holder that keeps the runner free for this attempt.
-  TimePoint aloneUntil{}; ///< The runner is kept free until then.
+  DaemonId isolatedBy;    ///< Holder that reserves the runner for this attempt, else empty.
+  TimePoint aloneUntil{}; ///< End of the runner's reservation.
 };
 
-/* The router's knowledge of the replicas of one artifact. */
+/* The queue and the known replicas of one artifact or of one plain service. */
 struct Target
 {
   Artifact artifact;
   ServiceId service;
   FairQueue queue;
   std::vector<ReplicaLocation> replicas;
-  TimePoint knownUntil{};
-  TimePoint nextDemand{};
-  TimePoint readyAt{};    ///< When the holder expects a replica.
-  bool hasAsked = false;  ///< A demand for waiting requests is unanswered.
-  Duration serviceTime{}; ///< Exponentially weighted mean of completed attempts; 0 means unknown.
-  std::uint32_t startedSince = 0;
-  std::uint32_t inFlight = 0; ///< Attempts that have not ended yet.
+  TimePoint knownUntil{}; ///< The replicas may be used until then without another demand reply.
+  TimePoint nextDemand{}; ///< Earliest time of the next demand message.
+  TimePoint readyAt{};    ///< When the holder expects a replica to be ready.
+  bool hasAsked = false;  ///< The last demand was sent for waiting requests and is unanswered.
+  Duration serviceTime{}; ///< Exponentially weighted mean over completed attempts; 0 if unknown.
+  std::uint32_t startedSince = 0; ///< Attempts started since the last demand message.
+  std::uint32_t inFlight = 0;     ///< Attempts that have not ended yet.
 };
 
-/* Whom the router takes for the holder of a cell, and how long it has been silent. */
+/* The daemon that the router assumes to hold a cell, and the times of unanswered requests to it. */
 struct HolderContact
 {
-  DaemonId holder;                  ///< Who answered last, or was named as the holder.
-  Fence fence;                      ///< The newest holder's; answers of former ones are ignored.
-  std::uint32_t candidate = 0;      ///< Rank of the daemon that is being tried.
-  bool hasFollowed = false;         ///< This candidate's hint was followed.
-  std::optional<TimePoint> askedAt; ///< The first question it has not answered.
-  std::optional<TimePoint> silentSince; ///< The first demand that nobody has answered.
-  std::optional<TimePoint> wantedAt;    ///< The last demand for waiting requests.
-  bool isProvenSilent = false;          ///< Requests were refused because nobody answered.
+  DaemonId holder; ///< Daemon that requests go to: the last that answered, was named or was tried.
+  Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
+  std::uint32_t candidate = 0;      ///< Rank of the daemon being tried; see View::RankDaemons().
+  bool hasFollowed = false;         ///< A holder hint was followed since this candidate was chosen.
+  std::optional<TimePoint> askedAt; ///< First request that `holder` has not answered.
+  std::optional<TimePoint> silentSince; ///< First demand that no daemon has answered.
+  std::optional<TimePoint> wantedAt;    ///< Last demand sent for waiting requests.
+  bool isProvenSilent = false;          ///< Requests were refused because no daemon answered.
 };
 
-/* A pause after refused attempts; it grows with each refusal in a row. */
+/* A pause after an endpoint refused an attempt. It doubles with each refusal after a pause, up
+ * to a limit, and a completed attempt resets it. */
 struct Backoff
 {
   std::uint32_t refusals = 0;
   TimePoint until{};
 };
 
-/* What the router has under way at an endpoint; kept while there is anything. */
+/* Attempts in flight and backoffs of one endpoint, erased when there are none. */
 struct EndpointUse
 {
   std::set<RequestId> inFlight;
   std::map<ModelId, Backoff> backoffs;
 };
 
-/* State is bounded: requests and attempts by settings().queueLimit, targets and endpoints by what
- * these requests use or have used within settings().replicaLifetime, holders by the services,
- * claims and fingerprints by the limits of their classes. */
+/* Decides which requests are admitted, where and when they run, and how they are answered.
+ *
+ * All state is bounded. Requests and their attempts are limited by settings().queueLimit. Targets
+ * and endpoints exist only while such requests use them, for settings().replicaLifetime after that,
+ * and while the holder of the target's cell does not answer. Holder contacts exist for configured
+ * services only. Claims, fingerprints, virtual times and retry budgets have limits of their own,
+ * see their classes. */
 class Router
 {
 public:
@@ -130,7 +136,7 @@
   void OnWake(Context& aContext, View& aView);
   void OnViewChanged(Context& aContext, View& aView);
 
-  /* Returns whether nothing is left to finish. */
+  /* Returns whether no request is left and the claims allow shutdown. */
   bool IsIdle() const { return mRequests.empty() && mClaims.IsIdle(); }
 
   void Dump(std::vector<DumpEntry>& aOut, TimePoint aNow) const;
@@ -142,9 +148,12 @@
                                            const View& aView,
                                            const RequestArrived& aArrived) const;
   void Admit(Context& aContext, View& aView, Request& aRequest);
-  /* Returns the time until the request's answer as far as it is queued for; 0 when it starts at
-   * once. */
+  /* Estimates the time until the request is answered. Returns 0 if nothing is known of its target
+   * or a slot is free, and only the time until a replica is ready if no replica is known. */
   Duration EstimateTime(const Context& aContext, const Request& aRequest) const;
+  /* Refuses one queued request of the customer with the most unanswered requests, so that a request
+   * of aFor can be admitted. Returns false if that customer has at most one more of them than aFor,
+   * or if none of its requests is queued. */
   bool MakeRoom(Context& aContext, const CustomerId& aFor);
   static void Refuse(Context& aContext,
                      const RequestId& aRequest,
@@ -157,6 +166,7 @@
                                            const View& aView,
                                            const Target& aTarget,
                                            const Request& aRequest) const;
+  /* Returns whether the replica can take one more request of this daemon now. */
   bool HasRoom(const Context& aContext,
                const View& aView,
                const Target& aTarget,
@@ -179,16 +189,21 @@
                      ResultCode aCode,
                      Duration aRetryAfter,
                      TimePoint aDueBefore);
+  /* Returns whether demands to the service's cell have gone unanswered for a whole lease length. */
   bool IsSilent(const Context& aContext, const ServiceId& aService) const;
+  /* Returns whether the target's known replicas are current enough for the request. */
   bool MayUse(const Context& aContext, const Target& aTarget, const Request& aRequest) const;
   void ReleaseUse(Request& aRequest);
   std::size_t InFlight(const EndpointId& aEndpoint) const;
+  /* Erases targets, backoffs and contacts that are no longer in use. */
   void Tidy(Context& aContext, View& aView);
   void RefreshPlainReplicas(const Context& aContext, const View& aView, Target& aTarget) const;
 
   void OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
   void OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
   void NoteOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
+  /* Marks an answered or cancelled request as abandoned while its attempt is in flight. The attempt
+   * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
   bool IsAloneSuspect(const Context& aContext, const Request& aRequest) const;
@@ -196,9 +211,12 @@
   void Isolate(Context& aContext, View& aView, Request& aRequest);
   void AskIsolation(Context& aContext, View& aView, Request& aRequest);
   void EndIsolation(Context& aContext, View& aView, Request& aRequest);
+  /* Repeats isolation requests, queues requests that are no longer suspects, and abandons attempts
+   * whose reservation has ended. */
   void ServeIsolated(Context& aContext, View& aView);
   void Clear(Context& aContext, View& aView, const FingerprintId& aFingerprint);
   void Broadcast(Context& aContext, const View& aView, const Message& aMessage) const;
+  /* Quarantines the request's fingerprint on all daemons. Returns false if that is disabled. */
   bool Convict(Context& aContext, View& aView, const Request& aRequest);
   void Retry(Context& aContext, View& aView, Request& aRequest);
   static ResultCode FailureCode(const Request& aRequest, ResultCode aNotRun);
@@ -221,7 +239,7 @@
   FairClock mClock;
   ClaimBook mClaims;
   Quarantine mQuarantine;
-  std::set<RequestId> mIsolated; ///< Requests that have or wait for a runner of their own.
+  std::set<RequestId> mIsolated; ///< Requests that wait for a reserved runner or use one.
   RetryBudget mBudget;
 };
 
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -1,4 +1,4 @@
-/* How replicas are asked for, learned and given up. */
+/* Demands to cell holders, their replies, and drains of replicas. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* Demand intervals without an answer after which the next candidate daemon is asked. */
+/* Demand intervals without an answer after which the next daemon in rank is tried as holder. */
 constexpr std::uint32_t kIntervalsBeforeNextHolder = 2;
 
 } // namespace
@@ -24,7 +24,8 @@
   if (IsPlain(aTarget.artifact) || aTarget.knownUntil > aContext.now()) {
     return true;
   }
-  // With no holder to ask, an old location serves what can be repeated if it is gone.
+  // While no holder answers, an expired location is still used for idempotent requests, because
+  // they can be repeated if the replica no longer exists.
   return aRequest.repeatability == Repeatability::kIdempotent &&
          IsSilent(aContext, aTarget.service);
 }
@@ -66,7 +67,7 @@
   aContext.WakeBy(aTarget.nextDemand);
   const DaemonId holder = ChooseHolder(aContext, aView, aTarget.service);
   HolderContact& contact = mHolders[aTarget.service];
-  // Time enough for a lease to lapse and for another daemon to take it.
+  // Long enough for a lease to expire and for another daemon to take it over.
   const Duration limit = aContext.settings().leaseLength + aContext.settings().memberTimeout;
   if (contact.silentSince && aContext.now() - *contact.silentSince >= limit && aTarget.hasAsked) {
     contact.isProvenSilent = true;
@@ -75,7 +76,9 @@
   }
   aTarget.hasAsked = !aTarget.queue.empty();
   if (aTarget.hasAsked) {
-    // While nobody asked, nobody was silent. Who was silent for long before gets less time now.
+    // Time during which no demand was sent does not count as time without an answer. If requests
+    // were already refused because no daemon answered, only the last `pause` of the limit is waited
+    // again.
     const Duration pause = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
     const bool hasPaused = !contact.wantedAt || aContext.now() - *contact.wantedAt > pause;
     if (!contact.silentSince || hasPaused) {
@@ -114,7 +117,8 @@
                          Target& aTarget,
                          const DemandReplyMessage& aReply)
 {
-  // One hint is followed for each candidate, so that two daemons can't send us to and fro.
+  // Only one hint is followed per candidate, so that two daemons that name each other as the holder
+  // cannot keep this daemon alternating between them.
   HolderContact& contact = mHolders[aTarget.service];
   if (aReply.holder.empty() || aReply.holder == contact.holder || contact.hasFollowed) {
     return;
@@ -142,13 +146,13 @@
   }
   HolderContact& contact = mHolders[target.service];
   if (aReply.fence < contact.fence) {
-    return; // A former holder.
+    return; // The reply comes from a former holder.
   }
   contact = { .holder = aFrom, .fence = aReply.fence };
   target.hasAsked = false;
   target.readyAt = aContext.now() + aReply.expectedWait;
   if (aReply.status == DemandStatus::kRefused) {
-    // One with little time left is no reason to refuse the others.
+    // With refusesBelow set, only requests with less time left than that are refused.
     const bool isForAll = aReply.refusesBelow <= Duration::zero();
     RefuseWaiting(aContext,
                   target,
@@ -162,7 +166,8 @@
     target.knownUntil = aContext.now() + aContext.settings().replicaLifetime;
     for (ReplicaLocation& replica : target.replicas) {
       mDraining.erase({ replica.runner, target.artifact.model });
-      // What this daemon has in flight is counted here; the report covers the others' share.
+      // Subtracts this daemon's own attempts from the reported load, because ChooseEndpoint() adds
+      // their current number.
       const auto ours = static_cast<std::uint32_t>(InFlight(replica.runner));
       replica.reportedLoad -= std::min(replica.reportedLoad, ours);
     }
--- a/src/decision/router/router_dispatch.cpp
+++ b/src/decision/router/router_dispatch.cpp
@@ -1,4 +1,4 @@
-/* Which waiting request goes to which endpoint, and when. */
+/* Dispatch: chooses an endpoint for each waiting request and starts its attempt. */
 #include "decision/router/router_base.h"
 
 #include "decision/rendezvous_func.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/* Time past its deadline for which the answer of an at-most-once request is waited for. */
+/* Time after its deadline for which an attempt of an at-most-once request may still complete. */
 constexpr Duration kLateAnswerGrace = 10s;
 
 } // namespace
@@ -60,7 +60,8 @@
                                                  const Target& aTarget,
                                                  const Request& aRequest) const
 {
-  // Requests with the same prefix prefer the same two replicas; the less loaded one is taken.
+  // Rendezvous hashing of the prefix gives requests with the same prefix the same two candidates,
+  // of which the less loaded one is taken. A replica in another zone counts as half a request more.
   constexpr std::size_t kCandidates = 2;
   constexpr double kOtherZoneCost = 0.5;
   const std::string key = aRequest.arrived.prefixHash == 0
@@ -82,7 +83,7 @@
   double bestCost = 0;
   for (const auto& [hasFailed, affinity, replica] : ranked) {
     if (hasFailed && best) {
-      break; // An endpoint that failed this request comes after all others.
+      break; // An endpoint where this request failed is used only if no other is available.
     }
     const EndpointInfo* info = aView.FindEndpoint(replica->runner);
     const double zoneCost = info->zone == aContext.options().zone ? 0.0 : kOtherZoneCost;
@@ -173,7 +174,7 @@
   aRequest.state = RequestState::kInFlight;
   mEndpoints[aEndpoint].inFlight.insert(aRequest.arrived.request);
   const bool isOnce = aRequest.repeatability == Repeatability::kAtMostOnce;
-  // An at-most-once request may go on past its deadline, so that its answer can be stored.
+  // An at-most-once request may run past its deadline, so that its answer can still be stored.
   const Duration grace = isOnce ? kLateAnswerGrace : Duration{};
   const bool resumes = aContext.IsEnabled(Mechanism::kResumeOffset);
   aContext.Emit(StartAttempt{ .request = aRequest.arrived.request,
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -1,4 +1,4 @@
-/* What follows from an attempt's outcome: the answer, a retry or a refusal. */
+/* Handles the end of an attempt and the result of a claim: answers, retries and refusals. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -7,15 +7,16 @@
 
 namespace {
 
-/* Attempts of one request that endpoints may refuse before it is refused itself. */
+/* Refused attempts after which the request itself is refused. */
 constexpr std::uint32_t kRefusedAttemptLimit = 16;
-/* Pause after the first refusal by an endpoint; it doubles with each one that follows. */
+/* Backoff after an endpoint's first refusal. Each further refusal doubles it. */
 constexpr Duration kFirstBackoff = 100ms;
+/* Limit of these doublings. */
 constexpr std::uint32_t kBackoffDoublings = 5;
-/* Completed attempts over which the mean of the service time reaches back. */
+/* A completed attempt changes the mean service time by 1/kServiceTimeSpan of the difference. */
 constexpr int kServiceTimeSpan = 16;
 
-/* Returns whether the same request may be answered when it comes again later. */
+/* Returns whether the caller may get another answer by repeating the request later. */
 bool CanComeBack(ResultCode aCode)
 {
   switch (aCode) {
@@ -38,7 +39,8 @@
 
 } // namespace
 
-/* Returns the code for a request that can't be served any more: what may have run says so. */
+/* Returns the result code of a request that failed: aNotRun if no attempt can have run, else a code
+ * that says that it may have run. */
 ResultCode Router::FailureCode(const Request& aRequest, ResultCode aNotRun)
 {
   if (!aRequest.mayHaveRun) {
@@ -178,8 +180,8 @@
   }
   const RetryBudgetOptions budget{ aContext.settings().retryBudgetRatio,
                                    aContext.settings().retryBudgetBurst };
-  // What an endpoint refused cost it nothing; the pauses between refusals bound such attempts.
-  // Suspects run one at a time in a cell, which bounds their retries.
+  // A refused attempt costs the endpoint nothing, and the backoff bounds the number of such
+  // attempts. Suspects run one at a time in a cell, which bounds their retries.
   const bool isFree = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
   const bool isAllowed =
     !aContext.IsEnabled(Mechanism::kRetryBudget) || isFree ||
@@ -218,7 +220,7 @@
 void Router::Abandon(Context& aContext, Request& aRequest)
 {
   if (IsOnce(aRequest)) {
-    // It runs on, so that its answer can still be stored.
+    // The attempt is not stopped, so that its answer can still be stored.
     mClaims.Record(aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kOpen, {});
   } else {
     aContext.Emit(StopAttempt{ aRequest.arrived.request, aRequest.attempt });
--- a/src/decision/router/router_quarantine.cpp
+++ b/src/decision/router/router_quarantine.cpp
@@ -1,4 +1,5 @@
-/* Requests that crash endpoints: suspicion, a runner of their own, conviction. */
+/* Requests in flight on a crashed endpoint become suspects, which run isolated on a reserved
+ * runner. A suspect that crashes an endpoint while it runs alone is quarantined. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -8,7 +9,8 @@
 
 namespace {
 
-/* Suspects of this daemon that wait for a runner or have one; more are refused at once. */
+/* Largest number of isolated requests of this daemon, waiting or running. Further suspects are
+ * refused at once. */
 constexpr std::size_t kIsolatedLimit = 64;
 
 } // namespace
@@ -46,7 +48,8 @@
     mQuarantine.suspects.Add(
       fingerprint, aContext.now() + aContext.settings().quarantineLength, aContext.now());
   }
-  // What this daemon has in flight there is suspect too; the others are told once.
+  // This daemon's own attempts on the crashed endpoint are suspects too. The other daemons are told
+  // only if there is an attempt that is not marked yet, so that the messages end.
   const EndpointInfo* info = aView.FindEndpoint(aSuspects.endpoint);
   const auto use = mEndpoints.find(aSuspects.endpoint);
   if (info == nullptr || info->bootId != aSuspects.bootId || use == mEndpoints.end()) {
@@ -91,7 +94,7 @@
   }
   mQuarantine.suspects.Remove(aConvicted.fingerprint);
   if (aConvicted.expiresIn.count() <= 0) {
-    mQuarantine.convicted.Remove(aConvicted.fingerprint); // Taken back by an operator.
+    mQuarantine.convicted.Remove(aConvicted.fingerprint); // An operator released the request.
     return;
   }
   mQuarantine.convicted.Add(
@@ -127,7 +130,8 @@
 
 bool Router::MustIsolate(const Context& aContext, const Request& aRequest) const
 {
-  // No daemon holds the endpoints of a plain service: there a suspect runs alone of this daemon's.
+  // The endpoints of a plain service have no holder that could reserve one. There a suspect shares
+  // the endpoint with no other request of this daemon, but possibly with requests of other daemons.
   const FingerprintId& fingerprint = aRequest.arrived.fingerprint;
   const bool isMarked = mQuarantine.suspects.Contains(fingerprint, aContext.now()) ||
                         mQuarantine.convicted.Contains(fingerprint, aContext.now());
@@ -185,7 +189,9 @@
   }
   Request& request = found->second;
   if (request.isolationAsk != aGrant.ask) {
-    return; // It can't be told how long an answer to an earlier ask is good for.
+    // The validity of a reply counts from the sending of its request. That time is known only for
+    // the last request.
+    return;
   }
   HolderContact& contact = mHolders[request.arrived.service];
   if (aGrant.status == IsolationStatus::kNotHolder) {
@@ -250,7 +256,8 @@
         Enqueue(aContext, aView, request);
       }
     } else if (request.state == RequestState::kInFlight && request.aloneUntil <= aContext.now()) {
-      // The runner is shared again, so the suspect must be gone from it.
+      // Other requests may use the runner when the reservation has ended, so the attempt is given
+      // up.
       const ResultCode code = FailureCode(request, ResultCode::kAttemptsExhausted);
       Refuse(aContext, id, code);
       Abandon(aContext, request);
@@ -266,7 +273,7 @@
 {
   mQuarantine.convicted.Remove(aReleased.fingerprint);
   mQuarantine.suspects.Remove(aReleased.fingerprint);
-  // A conviction that has expired on arrival replaces the one that the others hold.
+  // A ConvictedMessage without validity makes the other daemons remove the fingerprint.
   for (const auto& [id, member] : aView.members()) {
     aView.SendTo(aContext, id, ConvictedMessage{ aReleased.fingerprint, Duration{} });
   }
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -1,4 +1,5 @@
-/* What a request's caller is told, and what the router keeps, under each fault. */
+/* The answers of requests and the state of the router under faults of endpoints, runners and
+ * holders. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
