--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -1,4 +1,4 @@
-/* Hosts, members and configuration, as one daemon knows them. */
+/* Updates of the view by host lists, messages, table reads and time. */
 #include "decision/view/view_base.h"
 
 #include "decision/rendezvous_func.h"
@@ -9,9 +9,9 @@
 
 namespace {
 
-/* How long an endpoint that refused a connection is passed over. */
+/* Time for which no requests are sent to an endpoint after it refused a connection. */
 constexpr Duration kRefusedPause = 500ms;
-/* How long the word that an endpoint leaves is repeated with each heartbeat, as it may be lost. */
+/* Time for which a leaving notice is repeated with each heartbeat, because messages may be lost. */
 constexpr Duration kLeavingRepeat = 10s;
 
 } // namespace
@@ -48,7 +48,7 @@
     return true;
   }
   if (mHostsKnown && member != nullptr && member->wasListed && !member->listed) {
-    return true; // The list has shown it, and shows it no more.
+    return true; // The daemon was on the host list and no longer is.
   }
   const TimePoint now = aContext.now();
   const Duration limit = aContext.settings().memberTimeout;
@@ -57,7 +57,7 @@
     mAbsentSince.erase(aIncarnation);
     return false;
   }
-  // The host list lags: a daemon that has just started may not be on it yet.
+  // The host list lags, so a daemon that has just started may not be on it yet.
   const TimePoint since = mAbsentSince.try_emplace(aIncarnation, now).first->second;
   return now - since > limit;
 }
@@ -87,8 +87,8 @@
   const std::pair own{ RendezvousWeight(aKey, self), std::string_view{ self } };
   std::size_t better = 0;
   for (const auto& [id, member] : mMembers) {
-    // Right after the start nobody has been heard: then the listed ones count, so that daemons
-    // that start together do not all take themselves for the first.
+    // Right after the start no messages have arrived. Then listed daemons count, so that daemons
+    // that start together do not all rank themselves first.
     const bool isHeard =
       member.heardAt
         ? aContext.now() - *member.heardAt <= aContext.settings().memberTimeout
@@ -137,7 +137,7 @@
     info.zone = host.zone;
     info.address = host.address;
     if (host.state == HostState::kLeaving) {
-      mLeavingBoots[info.id] = host.bootId; // A list that lags may follow, and say otherwise.
+      mLeavingBoots[info.id] = host.bootId; // A later list may lag and show it as live.
     }
     const auto leaving = mLeavingBoots.find(info.id);
     const bool knownLeaving = leaving != mLeavingBoots.end() && leaving->second == host.bootId;
@@ -202,7 +202,8 @@
       aContext, aReceived.from.daemon, HeartbeatMessage{ mRow.version, true, aHeartbeat.sentAt });
     return;
   }
-  // An answer shows what was in force when it was asked for, however long it was under way.
+  // An answer is at least as recent as its request, so the age of the information is counted from
+  // the sending of the request, however long the answer took.
   Member& member = mMembers[aReceived.from.daemon];
   if (aHeartbeat.sentAt.count() > 0) {
     member.confirmedAt = std::max(member.confirmedAt, TimePoint{ aHeartbeat.sentAt });
@@ -215,7 +216,7 @@
     return;
   }
   mPoll = {};
-  // The row was read at or after the start of the poll, so that is how fresh the answer is.
+  // The row was read at or after the start of the poll, so its age is counted from that start.
   if (aResult.ok) {
     const Row* head = aResult.rows.empty() ? nullptr : &aResult.rows.front();
     const auto* row =
@@ -293,7 +294,7 @@
       ++heard;
     }
   }
-  // This daemon counts on both sides.
+  // Both counts include this daemon.
   return listed > 0 && 2 * (heard + 1) > listed + 1;
 }
 
--- a/src/decision/view/view_base.h
+++ b/src/decision/view/view_base.h
@@ -1,4 +1,4 @@
-/* What a daemon knows of its surroundings: hosts, members and the configuration in force. */
+/* A daemon's view of the fleet: endpoints, other daemons and the configuration in force. */
 #ifndef RHUBARBTRAIL_DECISION_VIEW_VIEW_BASE_H
 #define RHUBARBTRAIL_DECISION_VIEW_VIEW_BASE_H
 
@@ -16,10 +16,10 @@
 {
   kLive,
   kLeaving,
-  kGone,
+  kGone, ///< Not on the host list any more.
 };
 
-/* An endpoint as the host list and the endpoints themselves describe it. */
+/* An endpoint, as the host list and the results of attempts describe it. */
 struct EndpointInfo
 {
   EndpointId id;
@@ -28,24 +28,27 @@
   ZoneId zone;
   std::string address;
   EndpointState state = EndpointState::kLive;
-  TimePoint refusedUntil{}; ///< Connections are refused; not chosen before this time.
+  /* It refused a connection, and no requests are sent to it before this time. */
+  TimePoint refusedUntil{};
 };
 
-/* Another daemon. */
+/* Another daemon of the fleet. */
 struct Member
 {
   DaemonId id;
   std::string address;
-  IncarnationId incarnation; ///< Empty until it was heard or listed.
-  ConfigVersion version;
-  bool listed = false;
-  bool wasListed = false;   ///< Some host list has shown it.
-  TimePoint lastListedAt{}; ///< When one last did.
-  std::optional<TimePoint> heardAt;
-  TimePoint confirmedAt{}; ///< When it was asked for the version that it has answered.
+  IncarnationId incarnation; ///< Its latest known process; empty until a message arrives from it.
+  ConfigVersion version;     ///< Highest configuration version that it has reported.
+  bool listed = false;       ///< On the current host list.
+  bool wasListed = false;    ///< Has been on a host list.
+  TimePoint lastListedAt{};  ///< Time of the last host list with it.
+  std::optional<TimePoint> heardAt; ///< Time of its last message.
+  TimePoint confirmedAt{};          ///< Sending time of the last heartbeat that it answered.
   TimePoint nextHeartbeat{};
 };
 
+/* The fleet as one daemon knows it. It may lag behind: the host list arrives late, and messages
+ * from other daemons may be lost. */
 class View
 {
 public:
@@ -57,20 +60,26 @@
   const EndpointInfo* FindEndpoint(const EndpointId& aEndpoint) const;
   const Member* FindMember(const DaemonId& aDaemon) const;
 
-  /* Returns the endpoints of a service, so that a cell never looks at the rest of the fleet. */
+  /* Returns the endpoints of a service, so that a cell need not search those of the whole fleet. */
   const std::vector<EndpointId>& EndpointsOf(const ServiceId& aService) const;
 
   /* Returns whether requests may be sent to the endpoint now. */
   bool IsUsable(const EndpointId& aEndpoint, TimePoint aNow) const;
 
-  /* Returns whether it is proven that this process of a daemon runs no more: a later one was heard,
-   * or it has been neither heard nor listed for longer than the host list can lag. */
+  /* Returns whether this process of a daemon has certainly ended. That is so if the last
+   * message of the daemon came from another process, or if the daemon was on the host list and no
+   * longer is. It is also so if the daemon is not listed, has sent nothing within memberTimeout,
+   * and was in this state for more than another memberTimeout since the first call that found it
+   * so. */
   bool IsProvenDead(const Context& aContext, const Incarnation& aIncarnation) const;
 
-  /* Returns the listed or recently heard daemons, the best candidate for the key first. */
+  /* Returns this daemon and those that sent a message within memberTimeout, by descending
+   * rendezvous weight for the key. The first is the preferred holder. */
   std::vector<DaemonId> RankDaemons(const Context& aContext, const std::string& aKey) const;
 
-  /* Returns whether this daemon is among the first aCount of RankDaemons(). */
+  /* Returns whether this daemon is among the aCount daemons with the highest weight for the key.
+   * Unlike RankDaemons(), it counts listed daemons before their first message, too, for
+   * memberTimeout after the first host list. */
   bool IsAmongFirst(const Context& aContext, const std::string& aKey, std::size_t aCount) const;
 
   void OnHostList(Context& aContext, const HostListReceived& aList);
@@ -79,12 +88,14 @@
   void OnConfiguration(Context& aContext, const ConfigurationLoaded& aLoaded);
   void OnWake(Context& aContext);
 
-  /* Marks an endpoint that said itself that it is leaving, and tells the other daemons. */
+  /* Marks an endpoint as leaving after it reported so itself, and notifies the other daemons. */
   void NoteLeaving(Context& aContext, const EndpointId& aEndpoint);
-  /* Avoids an endpoint that refuses connections for a short time. */
+  /* Marks an endpoint that refused a connection as unusable for a short time. */
   void NoteRefused(const Context& aContext, const EndpointId& aEndpoint);
+  /* Sets the readiness to kStopping, for good. */
   void NoteStopping(Context& aContext);
 
+  /* Sends a message to a daemon; does nothing if its address is unknown. */
   void SendTo(Context& aContext, const DaemonId& aDaemon, Message aMessage) const;
   void Dump(std::vector<DumpEntry>& aOut, TimePoint aNow) const;
 
@@ -93,10 +104,14 @@
                    const MessageReceived& aReceived,
                    const HeartbeatMessage& aHeartbeat);
   void NoteMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion);
-  /* Tells a daemon once more which endpoints have said that they leave. */
+  /* Sends a daemon the leaving notices of the last seconds again, as messages may be lost. */
   void RepeatLeaving(Context& aContext, const DaemonId& aDaemon);
   void UpdateReadiness(Context& aContext);
+  /* Returns whether the table or a majority of daemons confirmed the configuration version within
+   * freshnessLimit. */
   bool IsFresh(const Context& aContext) const;
+  /* Returns whether this daemon and those that confirmed within freshnessLimit that they have no
+   * newer version are more than half of the listed daemons. */
   bool HearsMajority(const Context& aContext) const;
   void SendHeartbeats(Context& aContext);
   void PollConfiguration(Context& aContext);
@@ -107,16 +122,17 @@
   std::map<EndpointId, EndpointInfo> mEndpoints;
   std::map<ServiceId, std::vector<EndpointId>> mEndpointsOf;
   std::map<DaemonId, Member> mMembers;
-  std::map<EndpointId, std::string> mLeavingBoots; ///< Boot ids known to be leaving.
-  std::map<EndpointId, TimePoint> mLeavingSaid;    ///< When an endpoint told this daemon so itself.
-  /* Since when processes that were asked about have been neither heard nor listed. */
+  std::map<EndpointId, std::string> mLeavingBoots; ///< Boot ids of endpoints known to be leaving.
+  std::map<EndpointId, TimePoint> mLeavingSaid;    ///< When they reported it to this daemon.
+  /* When IsProvenDead() first found a process neither listed nor sending messages. An entry is
+   * erased when a call finds otherwise. */
   mutable std::map<Incarnation, TimePoint> mAbsentSince;
   Readiness mReadiness = Readiness::kStarting;
-  bool mHostsKnown = false;
-  TimePoint mHostsKnownSince{};
-  std::optional<TimePoint> mConfirmedAt; ///< When the table last confirmed the version.
+  bool mHostsKnown = false;              ///< A host list has arrived.
+  TimePoint mHostsKnownSince{};          ///< Arrival time of the first one.
+  std::optional<TimePoint> mConfirmedAt; ///< Start of the last read that showed no newer version.
   TimePoint mNextPoll{};
-  ChangeId mPoll; ///< The read under way; empty when none.
+  ChangeId mPoll; ///< The table read in flight, or empty.
   TimePoint mPollStarted{};
 };
 
--- a/tests/unit/view_test.cpp
+++ b/tests/unit/view_test.cpp
@@ -1,4 +1,4 @@
-/* What a daemon believes of others that a lagging host list does not show. */
+/* When a daemon treats another one as dead although the host list lags. */
 #include "decision/view/view_base.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* A view of one daemon, with the time given. */
+/* The view of daemon d0 at a time that the test sets. */
 struct Watcher
 {
   HostListReceived ListOf(std::initializer_list<const char*> aDaemons) const
