--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -1,4 +1,5 @@
-/* Some daemons' decisions side by side with a fake table, fake endpoints and given time. */
+/* Runs the decisions of several daemons against a fake table and fake endpoints, in simulated time.
+ */
 #ifndef RHUBARBTRAIL_TESTS_UNIT_ROUTER_WORLD_H
 #define RHUBARBTRAIL_TESTS_UNIT_ROUTER_WORLD_H
 
@@ -21,12 +22,13 @@
 enum class TableMode
 {
   kUp,
-  kDown,       ///< Nothing takes effect, and no answer comes.
-  kAnswerLost, ///< Everything takes effect, and no answer comes.
-  kLate,       ///< No answer comes; it takes effect when LandLate() is called.
+  kDown,       ///< No write takes effect, and the outcome is unknown.
+  kAnswerLost, ///< Writes take effect, but the outcome is unknown.
+  kLate,       ///< The outcome is unknown. Writes take effect with LandLate().
 };
 
-/* How an endpoint serves an attempt; no value means that it never ends by itself. */
+/* How an endpoint ends an attempt. World::serve returns no value for an attempt that does not end
+ * by itself. */
 struct Served
 {
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
@@ -174,7 +176,7 @@
       }));
   }
 
-  /* Returns the number of the last word on a request, or 0 when there is none yet. */
+  /* Returns the result code of a request, or 0 if it has not been answered yet. */
   int CodeOf(const RequestId& aRequest) const
   {
     const auto found = finished.find(aRequest);
@@ -212,7 +214,7 @@
   std::vector<SendMessage> sent;
   std::map<RowKey, Row> table;
   std::map<EndpointId, std::set<Artifact>> loaded;
-  std::size_t transactions = 0; ///< Transactions on claims.
+  std::size_t transactions = 0; ///< Transactions that write claims.
   std::size_t rowsWritten = 0;
 
 private:
@@ -348,7 +350,7 @@
   void Do(std::size_t aDaemon, const ShutdownComplete& /*aAction*/) { complete.insert(aDaemon); }
 
 public:
-  std::set<std::size_t> complete; ///< Daemons that may end.
+  std::set<std::size_t> complete; ///< Daemons that have completed their shutdown.
 
 private:
   WorldOptions mOptions;
