--- a/src/decision/router/claim.cpp
+++ b/src/decision/router/claim.cpp
@@ -13,56 +13,57 @@
 /* Least time between the starts of two transactions under load, so that batches become larger. */
 constexpr Duration kCommitSpacing = 20ms;
 /* Batch size from which on the next transaction is delayed by kCommitSpacing. */
-constexpr std::size_t kGroupSize = 4;
+constexpr std::size_t kDelayingBatchSize = 4;
 /* Consecutive transactions with an unknown outcome after which a daemon may stop. */
-constexpr std::uint32_t kShutdownFailures = 10;
+constexpr std::uint32_t kShutdownUnknowns = 10;
 
 } // namespace
 
-std::optional<ClaimVerdict> ClaimBook::Ask(Context& aContext, const RequestArrived& aArrived)
+std::optional<ClaimResult> ClaimWriter::RequestClaim(Context& aContext,
+                                                     const RequestArrived& aArrived)
 {
   Entry entry;
   entry.key = ClaimKey(aArrived.customer, aArrived.key);
   entry.row.request = aArrived.request;
   entry.row.owner = aContext.self();
   entry.row.fingerprint = aArrived.fingerprint;
-  entry.askedAt = aContext.now();
-  const auto other = mByKey.find(entry.key);
-  if (other != mByKey.end()) {
+  entry.requestedAt = aContext.now();
+  const auto other = mRequestsByKey.find(entry.key);
+  if (other != mRequestsByKey.end()) {
     const ClaimRow& found = mEntries.at(other->second).row;
-    const ClaimOutcome outcome = Judge(found, entry.row);
-    return ClaimVerdict{ aArrived.request,
-                         outcome == ClaimOutcome::kHeld ? ClaimOutcome::kInProgress : outcome,
-                         found };
+    const ClaimOutcome outcome = OutcomeOf(found, entry.row);
+    return ClaimResult{ aArrived.request,
+                        outcome == ClaimOutcome::kHeld ? ClaimOutcome::kInProgress : outcome,
+                        found };
   }
-  mByKey[entry.key] = aArrived.request;
+  mRequestsByKey[entry.key] = aArrived.request;
   Entry& stored = mEntries[aArrived.request] = std::move(entry);
-  Queue(aArrived.request, stored);
+  QueueWrite(aArrived.request, stored);
   aContext.WakeBy(aContext.now() + kClaimTimeout);
-  Send(aContext);
+  SendBatch(aContext);
   return std::nullopt;
 }
 
-void ClaimBook::Queue(const RequestId& aRequest, Entry& aEntry)
+void ClaimWriter::QueueWrite(const RequestId& aRequest, Entry& aEntry)
 {
-  if (!aEntry.isQueued && !aEntry.inBatch) {
+  if (!aEntry.isQueued && !aEntry.isInBatch) {
     aEntry.isQueued = true;
-    mWaiting.push_back(aRequest);
+    mQueued.push_back(aRequest);
   }
 }
 
-void ClaimBook::Erase(const RequestId& aRequest)
+void ClaimWriter::Erase(const RequestId& aRequest)
 {
   const auto found = mEntries.find(aRequest);
-  mByKey.erase(found->second.key);
+  mRequestsByKey.erase(found->second.key);
   mEntries.erase(found);
 }
 
-void ClaimBook::Record(Context& aContext,
-                       const RequestId& aRequest,
-                       ClaimState aState,
-                       ClaimEnd aEnd,
-                       const AttemptEnded& aEnded)
+void ClaimWriter::Record(Context& aContext,
+                         const RequestId& aRequest,
+                         ClaimState aState,
+                         ClaimEnd aEnd,
+                         const AttemptEnded& aEnded)
 {
   const auto found = mEntries.find(aRequest);
   if (found == mEntries.end()) {
@@ -74,60 +75,61 @@
   entry.row.contentType = aEnded.contentType;
   entry.row.answer = aEnded.answer;
   entry.step = Step::kUpdate;
-  entry.isOpen = aEnd == ClaimEnd::kOpen;
-  Queue(aRequest, entry);
-  Send(aContext);
+  entry.isProvisional = aEnd == ClaimEnd::kProvisional;
+  QueueWrite(aRequest, entry);
+  SendBatch(aContext);
 }
 
-void ClaimBook::Release(Context& aContext, const RequestId& aRequest)
+void ClaimWriter::Release(Context& aContext, const RequestId& aRequest)
 {
   const auto found = mEntries.find(aRequest);
   if (found == mEntries.end()) {
     return;
   }
   Entry& entry = found->second;
-  entry.isAsked = false;
+  entry.isResultDue = false;
   if (entry.step == Step::kInsert) {
-    const bool wasSent = entry.inBatch || entry.mayLand;
+    const bool wasSent = entry.isInBatch || entry.mayTakeEffectLate;
     if (!wasSent) {
       Erase(aRequest);
     }
-    // Otherwise the insertion may still take effect. SettleInsert() releases the claim when it has.
+    // Otherwise the insertion may still take effect. ApplyInsertedRow() releases the claim when it
+    // has.
     return;
   }
   entry.step = Step::kRelease;
-  entry.isOpen = false;
-  Queue(aRequest, entry);
-  Send(aContext);
+  entry.isProvisional = false;
+  QueueWrite(aRequest, entry);
+  SendBatch(aContext);
 }
 
-void ClaimBook::Send(Context& aContext)
+void ClaimWriter::SendBatch(Context& aContext)
 {
-  if (!mChange.empty() || mWaiting.empty()) {
+  if (!mPendingChange.empty() || mQueued.empty()) {
     return;
   }
-  if (mNextSend > aContext.now()) {
-    aContext.WakeBy(mNextSend);
+  if (mNextSendAt > aContext.now()) {
+    aContext.WakeBy(mNextSendAt);
     return;
   }
   TableTransaction transaction;
-  while (!mWaiting.empty() && mBatch.size() < aContext.settings().claimBatch) {
-    const RequestId request = std::move(mWaiting.front());
-    mWaiting.pop_front();
+  while (!mQueued.empty() && mBatch.size() < aContext.settings().claimBatch) {
+    const RequestId request = std::move(mQueued.front());
+    mQueued.pop_front();
     const auto found = mEntries.find(request);
     if (found == mEntries.end() || !found->second.isQueued) {
       continue;
     }
     Entry& entry = found->second;
     entry.isQueued = false;
-    entry.inBatch = true;
+    entry.isInBatch = true;
     if (entry.step == Step::kRelease) {
       entry.row.state = ClaimState::kReleased;
     }
     transaction.conditions.push_back({ entry.key, entry.version });
     // After a deletion an insertion that takes effect late would succeed. While one is possible,
     // the row is kept and marked as released instead.
-    const bool isDeleted = entry.step == Step::kRelease && !entry.mayLand;
+    const bool isDeleted = entry.step == Step::kRelease && !entry.mayTakeEffectLate;
     transaction.writes.push_back(
       { entry.key, isDeleted ? std::nullopt : std::optional<RowValue>{ entry.row } });
     mBatch.push_back(request);
@@ -135,13 +137,14 @@
   if (mBatch.empty()) {
     return;
   }
-  mChange = ChangeId{ aContext.NewName() };
-  mNextSend = aContext.now() + (mBatch.size() >= kGroupSize ? kCommitSpacing : Duration{});
-  transaction.change = mChange;
+  mPendingChange = ChangeId{ aContext.NewName() };
+  mNextSendAt =
+    aContext.now() + (mBatch.size() >= kDelayingBatchSize ? kCommitSpacing : Duration{});
+  transaction.change = mPendingChange;
   aContext.Emit(std::move(transaction));
 }
 
-ClaimOutcome ClaimBook::Judge(const ClaimRow& aFound, const ClaimRow& aOurs)
+ClaimOutcome ClaimWriter::OutcomeOf(const ClaimRow& aFound, const ClaimRow& aOurs)
 {
   if (aFound.fingerprint != aOurs.fingerprint) {
     return ClaimOutcome::kReused;
@@ -158,80 +161,82 @@
   return ClaimOutcome::kUnknown;
 }
 
-void ClaimBook::Settle(const RequestId& aRequest, const Row& aRow, std::vector<ClaimVerdict>& aOut)
+void ClaimWriter::ApplyRow(const RequestId& aRequest,
+                           const Row& aRow,
+                           std::vector<ClaimResult>& aResults)
 {
   Entry& entry = mEntries.at(aRequest);
   const auto* row = aRow.value ? std::get_if<ClaimRow>(&*aRow.value) : nullptr;
   const bool isOurs = row != nullptr && row->request == aRequest && row->owner == entry.row.owner;
   entry.version = aRow.version;
   if (entry.step == Step::kInsert) {
-    SettleInsert(aRequest, entry, row, aOut);
+    ApplyInsertedRow(aRequest, entry, row, aResults);
     return;
   }
   // The write of an end or a release is repeated until the row has its state.
   const bool isWritten = !isOurs || row->state == entry.row.state;
   if (!isWritten) {
-    Queue(aRequest, entry);
-  } else if (entry.isOpen && isOurs) {
+    QueueWrite(aRequest, entry);
+  } else if (entry.isProvisional && isOurs) {
     entry.step = Step::kGranted;
   } else {
     Erase(aRequest);
   }
 }
 
-void ClaimBook::SettleInsert(const RequestId& aRequest,
-                             Entry& aEntry,
-                             const ClaimRow* aRow,
-                             std::vector<ClaimVerdict>& aOut)
+void ClaimWriter::ApplyInsertedRow(const RequestId& aRequest,
+                                   Entry& aEntry,
+                                   const ClaimRow* aRow,
+                                   std::vector<ClaimResult>& aResults)
 {
   const bool isFree = aRow == nullptr || aRow->state == ClaimState::kReleased;
   if (isFree) {
-    if (!aEntry.isAsked && !aEntry.mayLand) {
+    if (!aEntry.isResultDue && !aEntry.mayTakeEffectLate) {
       Erase(aRequest);
       return;
     }
-    Queue(aRequest, aEntry);
+    QueueWrite(aRequest, aEntry);
     return;
   }
   if (aRow->request != aRequest || aRow->owner != aEntry.row.owner) {
-    if (aEntry.isAsked) {
-      aOut.push_back({ aRequest, Judge(*aRow, aEntry.row), *aRow });
+    if (aEntry.isResultDue) {
+      aResults.push_back({ aRequest, OutcomeOf(*aRow, aEntry.row), *aRow });
     }
     Erase(aRequest);
     return;
   }
-  if (!aEntry.isAsked) {
+  if (!aEntry.isResultDue) {
     aEntry.step = Step::kRelease;
-    Queue(aRequest, aEntry);
+    QueueWrite(aRequest, aEntry);
     return;
   }
-  aEntry.isAsked = false;
+  aEntry.isResultDue = false;
   aEntry.step = Step::kGranted;
-  aOut.push_back({ aRequest, ClaimOutcome::kGranted, {} });
+  aResults.push_back({ aRequest, ClaimOutcome::kGranted, {} });
 }
 
-std::vector<ClaimVerdict> ClaimBook::OnResult(Context& aContext, const TransactionResult& aResult)
+std::vector<ClaimResult> ClaimWriter::OnResult(Context& aContext, const TransactionResult& aResult)
 {
-  std::vector<ClaimVerdict> verdicts;
-  if (mChange.empty() || aResult.change != mChange) {
-    return verdicts;
+  std::vector<ClaimResult> results;
+  if (mPendingChange.empty() || aResult.change != mPendingChange) {
+    return results;
   }
-  mChange = {};
+  mPendingChange = {};
   const bool isUnknown = aResult.outcome == TransactionOutcome::kUnknown;
-  mFailures = isUnknown ? mFailures + 1 : 0;
+  mConsecutiveUnknowns = isUnknown ? mConsecutiveUnknowns + 1 : 0;
   if (isUnknown) {
-    mNextSend = aContext.now() + aContext.settings().tableRetry;
+    mNextSendAt = aContext.now() + aContext.settings().tableRetry;
   }
   const std::vector<RequestId> batch = std::exchange(mBatch, {});
   for (const RequestId& request : batch) {
     Entry& entry = mEntries.at(request);
-    entry.inBatch = false;
-    entry.mayLand = entry.mayLand || isUnknown;
+    entry.isInBatch = false;
+    entry.mayTakeEffectLate = entry.mayTakeEffectLate || isUnknown;
     const auto row = std::find_if(aResult.rows.begin(), aResult.rows.end(), [&](const Row& aRow) {
       return aRow.key == entry.key;
     });
     if (!isUnknown && row != aResult.rows.end()) {
-      Settle(request, *row, verdicts);
+      ApplyRow(request, *row, results);
     }
   }
   // Claims go first in the next batch if their outcome is unknown or if the transaction failed
@@ -244,34 +249,34 @@
       found == mEntries.end() || found->second.isQueued || found->second.step == Step::kGranted;
     if (!isSettled) {
       found->second.isQueued = true;
-      mWaiting.push_front(*request);
+      mQueued.push_front(*request);
     }
   }
-  Send(aContext);
-  return verdicts;
+  SendBatch(aContext);
+  return results;
 }
 
-std::vector<ClaimVerdict> ClaimBook::OnWake(Context& aContext)
+std::vector<ClaimResult> ClaimWriter::OnWake(Context& aContext)
 {
-  std::vector<ClaimVerdict> verdicts;
+  std::vector<ClaimResult> results;
   for (auto& [request, entry] : mEntries) {
-    if (entry.step != Step::kInsert || !entry.isAsked) {
+    if (entry.step != Step::kInsert || !entry.isResultDue) {
       continue;
     }
-    if (aContext.now() - entry.askedAt >= kClaimTimeout) {
-      entry.isAsked = false;
-      verdicts.push_back({ request, ClaimOutcome::kUnavailable, {} });
+    if (aContext.now() - entry.requestedAt >= kClaimTimeout) {
+      entry.isResultDue = false;
+      results.push_back({ request, ClaimOutcome::kUnavailable, {} });
       continue;
     }
-    aContext.WakeBy(entry.askedAt + kClaimTimeout);
+    aContext.WakeBy(entry.requestedAt + kClaimTimeout);
   }
-  Send(aContext);
-  return verdicts;
+  SendBatch(aContext);
+  return results;
 }
 
-bool ClaimBook::IsIdle() const
+bool ClaimWriter::IsIdle() const
 {
-  return mEntries.empty() || mFailures >= kShutdownFailures;
+  return mEntries.empty() || mConsecutiveUnknowns >= kShutdownUnknowns;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/router/claim_base.h
+++ b/src/decision/router/claim_base.h
@@ -25,7 +25,7 @@
   kUnavailable, ///< The table gave no answer in time. The request was not sent.
 };
 
-struct ClaimVerdict
+struct ClaimResult
 {
   RequestId request;
   ClaimOutcome outcome = ClaimOutcome::kGranted;
@@ -36,7 +36,7 @@
 enum class ClaimEnd : std::uint8_t
 {
   kFinal,
-  kOpen, ///< The attempt is still running, and its end will be recorded too.
+  kProvisional, ///< The attempt is still running, and its end will be recorded too.
 };
 
 /* Writes claims and their ends to the table in batches, with one transaction in flight at a time.
@@ -45,12 +45,12 @@
  * unavailable, this limits the entries to the requests that were in flight when the outage began,
  * the claims that wait for a result, which takes at most the claim timeout, and one batch of
  * insertions that may still take effect. */
-class ClaimBook
+class ClaimWriter
 {
 public:
   /* Requests the claim for a request. Returns the result if this daemon has an entry for the key
    * already. Otherwise OnResult() or OnWake() returns it later. */
-  std::optional<ClaimVerdict> Ask(Context& aContext, const RequestArrived& aArrived);
+  std::optional<ClaimResult> RequestClaim(Context& aContext, const RequestArrived& aArrived);
 
   /* Records the end of a claimed request: kDone with its answer, or kUnknown. */
   void Record(Context& aContext,
@@ -63,10 +63,10 @@
   void Release(Context& aContext, const RequestId& aRequest);
 
   /* Applies the result of a transaction and returns the claim results that follow from it. */
-  std::vector<ClaimVerdict> OnResult(Context& aContext, const TransactionResult& aResult);
+  std::vector<ClaimResult> OnResult(Context& aContext, const TransactionResult& aResult);
 
   /* Returns kUnavailable for each claim without a result after the claim timeout. */
-  std::vector<ClaimVerdict> OnWake(Context& aContext);
+  std::vector<ClaimResult> OnWake(Context& aContext);
 
   /* Returns whether no claim is unfinished, or the table has not answered for so long that a
    * stopping daemon leaves the unfinished claims behind. Once that daemon is proven dead, other
@@ -88,33 +88,34 @@
     ClaimRow row;
     RowVersion version;
     Step step = Step::kInsert;
-    bool isQueued = false; ///< In mWaiting, to be written in a later batch.
-    bool inBatch = false;  ///< Part of the transaction in flight.
-    bool isAsked = true;   ///< The caller still expects a result.
-    bool isOpen = false;   ///< The recorded end is not final.
-    bool mayLand = false;  ///< An earlier write with an unknown outcome may take effect late.
-    TimePoint askedAt{};
+    bool isQueued = false;      ///< In mQueued, to be written in a later batch.
+    bool isInBatch = false;     ///< Part of the transaction in flight.
+    bool isResultDue = true;    ///< The caller still expects a result.
+    bool isProvisional = false; ///< The recorded end is not final.
+    bool mayTakeEffectLate =
+      false; ///< An earlier write with an unknown outcome may take effect late.
+    TimePoint requestedAt{};
   };
 
-  void Queue(const RequestId& aRequest, Entry& aEntry);
+  void QueueWrite(const RequestId& aRequest, Entry& aEntry);
   void Erase(const RequestId& aRequest);
-  void Send(Context& aContext);
+  void SendBatch(Context& aContext);
   /* Compares an entry with the row that the table returned, and decides on its next write. */
-  void Settle(const RequestId& aRequest, const Row& aRow, std::vector<ClaimVerdict>& aOut);
-  void SettleInsert(const RequestId& aRequest,
-                    Entry& aEntry,
-                    const ClaimRow* aRow,
-                    std::vector<ClaimVerdict>& aOut);
+  void ApplyRow(const RequestId& aRequest, const Row& aRow, std::vector<ClaimResult>& aResults);
+  void ApplyInsertedRow(const RequestId& aRequest,
+                        Entry& aEntry,
+                        const ClaimRow* aRow,
+                        std::vector<ClaimResult>& aResults);
   /* Returns the outcome of a claim whose key already has the row aFound. */
-  static ClaimOutcome Judge(const ClaimRow& aFound, const ClaimRow& aOurs);
+  static ClaimOutcome OutcomeOf(const ClaimRow& aFound, const ClaimRow& aOurs);
 
   std::unordered_map<RequestId, Entry> mEntries;
-  std::unordered_map<RowKey, RequestId> mByKey;
-  std::deque<RequestId> mWaiting;
+  std::unordered_map<RowKey, RequestId> mRequestsByKey;
+  std::deque<RequestId> mQueued;
   std::vector<RequestId> mBatch;
-  ChangeId mChange; ///< The transaction in flight, or empty.
-  TimePoint mNextSend{};
-  std::uint32_t mFailures = 0; ///< Consecutive transactions with an unknown outcome.
+  ChangeId mPendingChange; ///< The transaction in flight, or empty.
+  TimePoint mNextSendAt{};
+  std::uint32_t mConsecutiveUnknowns = 0; ///< Consecutive transactions with an unknown outcome.
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -74,8 +74,8 @@
   const bool needsClaim = stored.repeatability == Repeatability::kAtMostOnce;
   if (needsClaim && aContext.IsEnabled(Mechanism::kClaimBeforeSend)) {
     stored.state = RequestState::kClaiming;
-    if (const auto verdict = mClaims.Ask(aContext, aArrived)) {
-      Decide(aContext, aView, *verdict);
+    if (const auto claimResult = mClaims.RequestClaim(aContext, aArrived)) {
+      Decide(aContext, aView, *claimResult);
     }
     return;
   }
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -226,7 +226,7 @@
   void ForgetReplica(const EndpointId& aEndpoint, const ModelId& aModel);
   void ReportDrained(Context& aContext, View& aView, const EndpointId& aEndpoint);
   void ExpireDeadlines(Context& aContext);
-  void Decide(Context& aContext, View& aView, const ClaimVerdict& aVerdict);
+  void Decide(Context& aContext, View& aView, const ClaimResult& aClaimResult);
   Target* FindTarget(const Request& aRequest);
 
   std::unordered_map<RequestId, Request> mRequests;
@@ -237,7 +237,7 @@
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
   std::map<CustomerId, std::uint32_t> mQueuedByCustomer;
   FairClock mClock;
-  ClaimBook mClaims;
+  ClaimWriter mClaims;
   Quarantine mQuarantine;
   std::set<RequestId> mIsolated; ///< Requests that wait for a reserved runner or use one.
   RetryBudget mBudget;
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -221,7 +221,8 @@
 {
   if (IsOnce(aRequest)) {
     // The attempt is not stopped, so that its answer can still be stored.
-    mClaims.Record(aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kOpen, {});
+    mClaims.Record(
+      aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kProvisional, {});
   } else {
     aContext.Emit(StopAttempt{ aRequest.arrived.request, aRequest.attempt });
   }
@@ -281,23 +282,23 @@
 
 void Router::OnTransactionResult(Context& aContext, View& aView, const TransactionResult& aResult)
 {
-  for (const ClaimVerdict& verdict : mClaims.OnResult(aContext, aResult)) {
-    Decide(aContext, aView, verdict);
+  for (const ClaimResult& claimResult : mClaims.OnResult(aContext, aResult)) {
+    Decide(aContext, aView, claimResult);
   }
-  for (const ClaimVerdict& verdict : mClaims.OnWake(aContext)) {
-    Decide(aContext, aView, verdict);
+  for (const ClaimResult& claimResult : mClaims.OnWake(aContext)) {
+    Decide(aContext, aView, claimResult);
   }
 }
 
-void Router::Decide(Context& aContext, View& aView, const ClaimVerdict& aVerdict)
+void Router::Decide(Context& aContext, View& aView, const ClaimResult& aClaimResult)
 {
-  const auto found = mRequests.find(aVerdict.request);
+  const auto found = mRequests.find(aClaimResult.request);
   if (found == mRequests.end()) {
-    mClaims.Release(aContext, aVerdict.request);
+    mClaims.Release(aContext, aClaimResult.request);
     return;
   }
   Request& request = found->second;
-  switch (aVerdict.outcome) {
+  switch (aClaimResult.outcome) {
     case ClaimOutcome::kGranted:
       Admit(aContext, aView, request);
       break;
@@ -307,18 +308,18 @@
     case ClaimOutcome::kHeld:
       Finish(aContext,
              request,
-             aVerdict.row.owner != aContext.self() &&
-                 aView.IsProvenDead(aContext, aVerdict.row.owner)
+             aClaimResult.row.owner != aContext.self() &&
+                 aView.IsProvenDead(aContext, aClaimResult.row.owner)
                ? ResultCode::kEarlierOutcomeUnknown
                : ResultCode::kIdempotencyKeyInProgress);
       break;
     case ClaimOutcome::kDone:
-      aContext.Emit(FinishRequest{ .request = aVerdict.request,
+      aContext.Emit(FinishRequest{ .request = aClaimResult.request,
                                    .code = ResultCode::kOk,
-                                   .httpStatus = aVerdict.row.httpStatus,
-                                   .contentType = aVerdict.row.contentType,
-                                   .storedAnswer = aVerdict.row.answer });
-      Erase(aVerdict.request);
+                                   .httpStatus = aClaimResult.row.httpStatus,
+                                   .contentType = aClaimResult.row.contentType,
+                                   .storedAnswer = aClaimResult.row.answer });
+      Erase(aClaimResult.request);
       break;
     case ClaimOutcome::kUnknown:
       Finish(aContext, request, ResultCode::kEarlierOutcomeUnknown);
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -1,5 +1,4 @@
-/* Runs the decisions of several daemons against a fake table and fake endpoints, in simulated time.
- */
+/* Runs the decisions of daemons against a fake table and fake endpoints, in simulated time. */
 #ifndef RHUBARBTRAIL_TESTS_UNIT_ROUTER_WORLD_H
 #define RHUBARBTRAIL_TESTS_UNIT_ROUTER_WORLD_H
 
