--- a/src/decision/router/fair_queue.cpp
+++ b/src/decision/router/fair_queue.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 /* Customers with a stored virtual time, at most. Beyond that, those whose time is not ahead of the
- * clock are erased, which changes nothing as StartOf() returns the clock's time for them. */
-constexpr std::size_t kRememberedCustomers = 65'536;
+ * clock are erased, which changes nothing as VirtualStartOf() returns the clock's time for them. */
+constexpr std::size_t kStoredCustomerLimit = 65'536;
 
 } // namespace
 
-double FairClock::StartOf(const CustomerId& aCustomer) const
+double FairClock::VirtualStartOf(const CustomerId& aCustomer) const
 {
   const auto found = mVirtualTimes.find(aCustomer);
-  return found == mVirtualTimes.end() ? mNow : std::max(mNow, found->second);
+  return found == mVirtualTimes.end() ? mVirtualNow : std::max(mVirtualNow, found->second);
 }
 
 void FairClock::Charge(const CustomerId& aCustomer, std::uint32_t aWeight)
 {
-  const double start = StartOf(aCustomer);
-  mNow = start;
+  const double start = VirtualStartOf(aCustomer);
+  mVirtualNow = start;
   mVirtualTimes[aCustomer] = start + 1.0 / std::max(1U, aWeight);
-  if (mVirtualTimes.size() > kRememberedCustomers) {
-    std::erase_if(mVirtualTimes, [this](const auto& aItem) { return aItem.second <= mNow; });
+  if (mVirtualTimes.size() > kStoredCustomerLimit) {
+    std::erase_if(mVirtualTimes, [this](const auto& aItem) { return aItem.second <= mVirtualNow; });
   }
 }
 
@@ -65,7 +65,7 @@
   const auto& [priority, byCustomer] = *mByPriority.begin();
   Best best{ priority, 0, nullptr };
   for (const auto& [customer, backlog] : byCustomer) {
-    const double start = aClock.StartOf(customer);
+    const double start = aClock.VirtualStartOf(customer);
     if (best.requests == nullptr || start < best.start) {
       best.start = start;
       best.requests = &backlog.requests;
@@ -92,7 +92,7 @@
   return std::pair{ best->priority, best->start };
 }
 
-double FairQueue::CountAhead(const QueuedRequest& aRequest) const
+double FairQueue::EstimateAhead(const QueuedRequest& aRequest) const
 {
   double ahead = 0;
   for (const auto& [priority, byCustomer] : mByPriority) {
@@ -101,18 +101,18 @@
     }
     const auto own = byCustomer.find(aRequest.customer);
     const std::size_t ownWaiting = own == byCustomer.end() ? 0 : own->second.requests.size();
-    const double turns =
+    const double rounds =
       static_cast<double>(ownWaiting + 1) / static_cast<double>(std::max(1U, aRequest.weight));
     for (const auto& [customer, backlog] : byCustomer) {
       const auto waiting = static_cast<double>(backlog.requests.size());
       const bool isShared = priority == aRequest.priority && customer != aRequest.customer;
-      ahead += isShared ? std::min(waiting, turns * backlog.weight) : waiting;
+      ahead += isShared ? std::min(waiting, rounds * backlog.weight) : waiting;
     }
   }
   return ahead;
 }
 
-std::optional<RequestId> FairQueue::LastOf(const CustomerId& aCustomer) const
+std::optional<RequestId> FairQueue::LastRequestOf(const CustomerId& aCustomer) const
 {
   for (auto byCustomer = mByPriority.rbegin(); byCustomer != mByPriority.rend(); ++byCustomer) {
     const auto found = byCustomer->second.find(aCustomer);
--- a/src/decision/router/fair_queue_base.h
+++ b/src/decision/router/fair_queue_base.h
@@ -32,14 +32,14 @@
 {
 public:
   /* Returns the virtual time at which the customer's next request starts. */
-  double StartOf(const CustomerId& aCustomer) const;
+  double VirtualStartOf(const CustomerId& aCustomer) const;
 
   /* Advances the customer's virtual time by the cost of one request, which starts now. */
   void Charge(const CustomerId& aCustomer, std::uint32_t aWeight);
 
 private:
   std::unordered_map<CustomerId, double> mVirtualTimes;
-  double mNow = 0;
+  double mVirtualNow = 0;
 };
 
 /* The waiting requests for one artifact or plain service. */
@@ -60,10 +60,10 @@
   /* Estimates how many waiting requests would start before this one if it were pushed now. These
    * are all requests of higher priority, all of its own customer at its priority, and of each other
    * customer at its priority as many as the ratio of the weights allows until it starts. */
-  double CountAhead(const QueuedRequest& aRequest) const;
+  double EstimateAhead(const QueuedRequest& aRequest) const;
 
   /* Returns the customer's request of the lowest priority and, among these, the latest deadline. */
-  std::optional<RequestId> LastOf(const CustomerId& aCustomer) const;
+  std::optional<RequestId> LastRequestOf(const CustomerId& aCustomer) const;
 
   bool empty() const { return mSize == 0; }
   std::size_t size() const { return mSize; }
--- a/src/decision/router/quarantine.cpp
+++ b/src/decision/router/quarantine.cpp
@@ -13,18 +13,18 @@
 
 void FingerprintSet::Add(const FingerprintId& aFingerprint, TimePoint aUntil, TimePoint aNow)
 {
-  if (mUntil.size() >= kFingerprintLimit) {
-    std::erase_if(mUntil, [aNow](const auto& aItem) { return aItem.second <= aNow; });
+  if (mExpiries.size() >= kFingerprintLimit) {
+    std::erase_if(mExpiries, [aNow](const auto& aItem) { return aItem.second <= aNow; });
   }
-  if (mUntil.size() < kFingerprintLimit) {
-    mUntil[aFingerprint] = aUntil;
+  if (mExpiries.size() < kFingerprintLimit) {
+    mExpiries[aFingerprint] = aUntil;
   }
 }
 
 bool FingerprintSet::Contains(const FingerprintId& aFingerprint, TimePoint aNow) const
 {
-  const auto found = mUntil.find(aFingerprint);
-  return found != mUntil.end() && found->second > aNow;
+  const auto found = mExpiries.find(aFingerprint);
+  return found != mExpiries.end() && found->second > aNow;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/router/quarantine_base.h
+++ b/src/decision/router/quarantine_base.h
@@ -14,13 +14,13 @@
 {
 public:
   void Add(const FingerprintId& aFingerprint, TimePoint aUntil, TimePoint aNow);
-  void Remove(const FingerprintId& aFingerprint) { mUntil.erase(aFingerprint); }
+  void Remove(const FingerprintId& aFingerprint) { mExpiries.erase(aFingerprint); }
   bool Contains(const FingerprintId& aFingerprint, TimePoint aNow) const;
-  std::size_t size() const { return mUntil.size(); }
-  const std::unordered_map<FingerprintId, TimePoint>& entries() const { return mUntil; }
+  std::size_t size() const { return mExpiries.size(); }
+  const std::unordered_map<FingerprintId, TimePoint>& entries() const { return mExpiries; }
 
 private:
-  std::unordered_map<FingerprintId, TimePoint> mUntil;
+  std::unordered_map<FingerprintId, TimePoint> mExpiries;
 };
 
 /* Suspects run isolated. A suspect that crashes an endpoint while it runs isolated is quarantined:
--- a/src/decision/router/retry_budget.cpp
+++ b/src/decision/router/retry_budget.cpp
@@ -30,9 +30,9 @@
   return mBuckets.try_emplace(aName, aOptions.burst).first->second;
 }
 
-void RetryBudget::NoteFirstAttempt(const CustomerId& aCustomer,
-                                   const ServiceId& aService,
-                                   const RetryBudgetOptions& aOptions)
+void RetryBudget::RecordFirstAttempt(const CustomerId& aCustomer,
+                                     const ServiceId& aService,
+                                     const RetryBudgetOptions& aOptions)
 {
   for (const std::string& name : { CustomerBucket(aCustomer), ServiceBucket(aService) }) {
     double& bucket = Bucket(name, aOptions);
--- a/src/decision/router/retry_budget_base.h
+++ b/src/decision/router/retry_budget_base.h
@@ -20,9 +20,9 @@
 class RetryBudget
 {
 public:
-  void NoteFirstAttempt(const CustomerId& aCustomer,
-                        const ServiceId& aService,
-                        const RetryBudgetOptions& aOptions);
+  void RecordFirstAttempt(const CustomerId& aCustomer,
+                          const ServiceId& aService,
+                          const RetryBudgetOptions& aOptions);
 
   /* Takes one token from both buckets and returns true. Takes none and returns false if either
    * bucket has less than one. */
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -114,7 +114,7 @@
     return {};
   }
   // Occupied slots are assumed to free up one after another, evenly spread over the service time.
-  const double turns = (target.queue.CountAhead(aRequest.queued) + 1.0) / slots + 1.0;
+  const double turns = (target.queue.EstimateAhead(aRequest.queued) + 1.0) / slots + 1.0;
   return Duration{ static_cast<std::int64_t>(turns *
                                              static_cast<double>(target.serviceTime.count())) };
 }
@@ -132,7 +132,7 @@
   }
   const CustomerId customer = largest->first;
   for (auto& [key, target] : mTargets) {
-    if (const auto last = target.queue.LastOf(customer)) {
+    if (const auto last = target.queue.LastRequestOf(customer)) {
       Request& request = mRequests.at(*last);
       Finish(aContext, request, FailureCode(request, ResultCode::kQueueFull));
       return true;
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -240,7 +240,7 @@
   ClaimWriter mClaims;
   Quarantine mQuarantine;
   std::set<RequestId> mIsolated; ///< Requests that wait for a reserved runner or use one.
-  RetryBudget mBudget;
+  RetryBudget mRetryBudget;
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router_dispatch.cpp
+++ b/src/decision/router/router_dispatch.cpp
@@ -163,7 +163,7 @@
   ++aTarget.startedSince;
   ++aTarget.inFlight;
   if (aRequest.attempt.value == 0) {
-    mBudget.NoteFirstAttempt(
+    mRetryBudget.RecordFirstAttempt(
       aRequest.arrived.customer,
       aRequest.arrived.service,
       { aContext.settings().retryBudgetRatio, aContext.settings().retryBudgetBurst });
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -13,8 +13,8 @@
 constexpr Duration kFirstBackoff = 100ms;
 /* Limit of these doublings. */
 constexpr std::uint32_t kBackoffDoublings = 5;
-/* A completed attempt changes the mean service time by 1/kServiceTimeSpan of the difference. */
-constexpr int kServiceTimeSpan = 16;
+/* A completed attempt changes the mean service time by 1/kServiceTimeDivisor of the difference. */
+constexpr int kServiceTimeDivisor = 16;
 
 /* Returns whether the caller may get another answer by repeating the request later. */
 bool CanComeBack(ResultCode aCode)
@@ -120,7 +120,7 @@
         const Duration time = aContext.now() - aRequest.startedAt;
         const bool isFirst = target->serviceTime.count() == 0;
         target->serviceTime =
-          isFirst ? time : target->serviceTime + (time - target->serviceTime) / kServiceTimeSpan;
+          isFirst ? time : target->serviceTime + (time - target->serviceTime) / kServiceTimeDivisor;
       }
       Clear(aContext, aView, aRequest.arrived.fingerprint);
       mEndpoints[aRequest.endpoint].backoffs.erase(aRequest.arrived.artifact.model);
@@ -185,7 +185,7 @@
   const bool isFree = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
   const bool isAllowed =
     !aContext.IsEnabled(Mechanism::kRetryBudget) || isFree ||
-    mBudget.TakeRetry(aRequest.arrived.customer, aRequest.arrived.service, budget);
+    mRetryBudget.TakeRetry(aRequest.arrived.customer, aRequest.arrived.service, budget);
   if (!isAllowed) {
     Finish(aContext, aRequest, ResultCode::kRetryBudgetSpent);
     return;
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -32,13 +32,13 @@
   };
   for (const Case& row : cases) {
     INFO(row.name);
-    CHECK(queue.CountAhead({ .request = RequestId{ "new" },
-                             .customer = CustomerId{ row.customer },
-                             .weight = row.weight,
-                             .priority = row.priority }) == doctest::Approx(row.ahead));
+    CHECK(queue.EstimateAhead({ .request = RequestId{ "new" },
+                                .customer = CustomerId{ row.customer },
+                                .weight = row.weight,
+                                .priority = row.priority }) == doctest::Approx(row.ahead));
   }
-  CHECK(queue.LastOf(CustomerId{ "urgent" }) == RequestId{ "u" });
-  CHECK(!queue.LastOf(CustomerId{ "nobody" }));
+  CHECK(queue.LastRequestOf(CustomerId{ "urgent" }) == RequestId{ "u" });
+  CHECK(!queue.LastRequestOf(CustomerId{ "nobody" }));
 }
 
 TEST_CASE("a large customer fills neither the daemon nor a small one's deadline")
