--- a/src/decision/router/quarantine_base.h
+++ b/src/decision/router/quarantine_base.h
@@ -25,10 +25,10 @@
 
 /* Suspects run isolated. A suspect that crashes an endpoint while it runs isolated is quarantined:
  * requests with its fingerprint are refused. */
-struct Quarantine
+struct FingerprintSets
 {
   FingerprintSet suspects;
-  FingerprintSet convicted;
+  FingerprintSet quarantined;
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router.cpp
+++ b/src/decision/router/router.cpp
@@ -11,13 +11,13 @@
   return found == mTargets.end() ? nullptr : &found->second;
 }
 
-std::size_t Router::InFlight(const EndpointId& aEndpoint) const
+std::size_t Router::CountInFlight(const EndpointId& aEndpoint) const
 {
   const auto found = mEndpoints.find(aEndpoint);
   return found == mEndpoints.end() ? 0 : found->second.inFlight.size();
 }
 
-void Router::ReleaseUse(Request& aRequest)
+void Router::ReleaseEndpoint(Request& aRequest)
 {
   const auto endpoint = mEndpoints.find(aRequest.endpoint);
   if (endpoint != mEndpoints.end()) {
@@ -46,7 +46,7 @@
   Erase(aCancelled.request);
 }
 
-void Router::Tidy(Context& aContext, View& aView)
+void Router::EraseUnused(Context& aContext, View& aView)
 {
   for (auto item = mTargets.begin(); item != mTargets.end();) {
     Target& target = item->second;
@@ -54,17 +54,18 @@
       ++item;
       continue;
     }
-    const bool isForgotten = IsPlain(target.artifact) || (target.knownUntil <= aContext.now() &&
-                                                          !IsSilent(aContext, target.service));
-    item = isForgotten ? mTargets.erase(item) : std::next(item);
+    const bool isUnused =
+      IsPlainService(target.artifact) ||
+      (target.replicasValidUntil <= aContext.now() && !IsHolderSilent(aContext, target.service));
+    item = isUnused ? mTargets.erase(item) : std::next(item);
   }
   for (auto& [id, use] : mEndpoints) {
     std::erase_if(use.backoffs, [&](const auto& aItem) {
-      const TimePoint forgetAt = aItem.second.until + aContext.settings().replicaLifetime;
-      if (forgetAt > aContext.now()) {
-        aContext.WakeBy(forgetAt);
+      const TimePoint expiresAt = aItem.second.until + aContext.settings().replicaLifetime;
+      if (expiresAt > aContext.now()) {
+        aContext.WakeBy(expiresAt);
       }
-      return forgetAt <= aContext.now();
+      return expiresAt <= aContext.now();
     });
   }
   std::erase_if(mEndpoints, [](const auto& aItem) {
@@ -79,27 +80,27 @@
 {
   ExpireDeadlines(aContext);
   OnTransactionResult(aContext, aView, {});
-  ServeIsolated(aContext, aView);
+  UpdateIsolatedRequests(aContext, aView);
   for (auto& [key, target] : mTargets) {
     if (!target.queue.empty()) {
       DispatchTarget(aContext, aView, target);
       continue;
     }
-    if (IsPlain(target.artifact)) {
+    if (IsPlainService(target.artifact)) {
       continue;
     }
     // Replica locations in use are refreshed when half of their lifetime has passed. Unused ones
     // expire.
-    const TimePoint refresh = target.knownUntil - aContext.settings().replicaLifetime / 2;
+    const TimePoint refresh = target.replicasValidUntil - aContext.settings().replicaLifetime / 2;
     if (refresh > aContext.now()) {
       aContext.WakeBy(refresh);
     } else if (target.startedSince > 0 || target.inFlight > 0) {
-      Demand(aContext, aView, target);
-    } else if (target.knownUntil > aContext.now()) {
-      aContext.WakeBy(target.knownUntil);
+      SendDemand(aContext, aView, target);
+    } else if (target.replicasValidUntil > aContext.now()) {
+      aContext.WakeBy(target.replicasValidUntil);
     }
   }
-  Tidy(aContext, aView);
+  EraseUnused(aContext, aView);
 }
 
 void Router::OnViewChanged(Context& aContext, View& aView)
@@ -117,9 +118,9 @@
   aOut.push_back({ "router.targets", std::to_string(mTargets.size()) });
   aOut.push_back({ "router.endpoints_in_use", std::to_string(mEndpoints.size()) });
   aOut.push_back({ "router.claims", std::to_string(mClaims.size()) });
-  aOut.push_back({ "router.suspects", std::to_string(mQuarantine.suspects.size()) });
-  aOut.push_back({ "router.convicted", std::to_string(mQuarantine.convicted.size()) });
-  for (const auto& [fingerprint, until] : mQuarantine.convicted.entries()) {
+  aOut.push_back({ "router.suspects", std::to_string(mFingerprints.suspects.size()) });
+  aOut.push_back({ "router.convicted", std::to_string(mFingerprints.quarantined.size()) });
+  for (const auto& [fingerprint, until] : mFingerprints.quarantined.entries()) {
     if (until > aNow) {
       const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - aNow);
       aOut.push_back({ "router.quarantined." + fingerprint.str(), std::to_string(left.count()) });
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -24,7 +24,7 @@
     return ResultCode::kRequestMalformed;
   }
   if (aContext.IsEnabled(Mechanism::kQuarantine) &&
-      mQuarantine.convicted.Contains(aArrived.fingerprint, aContext.now())) {
+      mFingerprints.quarantined.Contains(aArrived.fingerprint, aContext.now())) {
     return ResultCode::kQuarantined;
   }
   if (requestClass->second.repeatability == Repeatability::kAtMostOnce && aArrived.key.empty()) {
@@ -55,14 +55,14 @@
   request.arrived = aArrived;
   request.repeatability = requestClass.repeatability;
   request.deadline = aContext.now() + timeLeft;
-  request.suspect = mQuarantine.suspects.Contains(aArrived.fingerprint, aContext.now());
+  request.suspect = mFingerprints.suspects.Contains(aArrived.fingerprint, aContext.now());
   request.queued = { .request = aArrived.request,
                      .customer = aArrived.customer,
                      .weight = customer.weight,
                      .priority = requestClass.priority,
                      .deadline = request.deadline };
   if (mRequests.size() >= aContext.settings().queueLimit &&
-      !MakeRoom(aContext, aArrived.customer)) {
+      !FreeQueueSlotFor(aContext, aArrived.customer)) {
     Refuse(aContext, aArrived.request, ResultCode::kQueueFull);
     return;
   }
@@ -75,7 +75,7 @@
   if (needsClaim && aContext.IsEnabled(Mechanism::kClaimBeforeSend)) {
     stored.state = RequestState::kClaiming;
     if (const auto claimResult = mClaims.RequestClaim(aContext, aArrived)) {
-      Decide(aContext, aView, *claimResult);
+      ApplyClaimResult(aContext, aView, *claimResult);
     }
     return;
   }
@@ -100,9 +100,10 @@
     return {};
   }
   const Target& target = found->second;
-  const bool isKnown = IsPlain(target.artifact) || target.knownUntil > aContext.now();
+  const bool isKnown =
+    IsPlainService(target.artifact) || target.replicasValidUntil > aContext.now();
   if (!isKnown || target.replicas.empty()) {
-    return std::max(Duration{}, target.readyAt - aContext.now());
+    return std::max(Duration{}, target.expectedReadyAt - aContext.now());
   }
   std::uint32_t slots = 0;
   for (const ReplicaLocation& replica : target.replicas) {
@@ -119,13 +120,13 @@
                                              static_cast<double>(target.serviceTime.count())) };
 }
 
-bool Router::MakeRoom(Context& aContext, const CustomerId& aFor)
+bool Router::FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer)
 {
   const auto largest = std::max_element(
     mQueuedByCustomer.begin(), mQueuedByCustomer.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.second < aRight.second;
     });
-  const auto own = mQueuedByCustomer.find(aFor);
+  const auto own = mQueuedByCustomer.find(aCustomer);
   const std::uint32_t ownCount = own == mQueuedByCustomer.end() ? 0 : own->second;
   if (largest == mQueuedByCustomer.end() || largest->second <= ownCount + 1) {
     return false;
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -23,7 +23,7 @@
 
 /* Returns whether the artifact names no model. Requests to a plain service, whose endpoints load no
  * models, have such an artifact. */
-inline bool IsPlain(const Artifact& aArtifact)
+inline bool IsPlainService(const Artifact& aArtifact)
 {
   return aArtifact.model.empty();
 }
@@ -54,10 +54,10 @@
   std::uint32_t delivered = 0;       ///< Stream events already delivered to the caller.
   bool mayHaveRun = false;
   bool suspect = false; ///< A request with its fingerprint was on an endpoint that crashed.
-  std::uint64_t isolationAsk = 0; ///< Number of the last isolation request sent.
-  TimePoint isolationAskedAt{};
-  DaemonId isolatedBy;    ///< Holder that reserves the runner for this attempt, else empty.
-  TimePoint aloneUntil{}; ///< End of the runner's reservation.
+  std::uint64_t isolationRequestNumber = 0; ///< Number of the last isolation request sent.
+  TimePoint isolationRequestedAt{};
+  DaemonId isolationHolder;  ///< Holder that reserves the runner for this attempt, else empty.
+  TimePoint reservedUntil{}; ///< End of the runner's reservation.
 };
 
 /* The queue and the known replicas of one artifact or of one plain service. */
@@ -67,10 +67,12 @@
   ServiceId service;
   FairQueue queue;
   std::vector<ReplicaLocation> replicas;
-  TimePoint knownUntil{}; ///< The replicas may be used until then without another demand reply.
-  TimePoint nextDemand{}; ///< Earliest time of the next demand message.
-  TimePoint readyAt{};    ///< When the holder expects a replica to be ready.
-  bool hasAsked = false;  ///< The last demand was sent for waiting requests and is unanswered.
+  TimePoint
+    replicasValidUntil{};   ///< The replicas may be used until then without another demand reply.
+  TimePoint nextDemandAt{}; ///< Earliest time of the next demand message.
+  TimePoint expectedReadyAt{}; ///< When the holder expects a replica to be ready.
+  bool isDemandUnanswered =
+    false;                ///< The last demand was sent for waiting requests and is unanswered.
   Duration serviceTime{}; ///< Exponentially weighted mean over completed attempts; 0 if unknown.
   std::uint32_t startedSince = 0; ///< Attempts started since the last demand message.
   std::uint32_t inFlight = 0;     ///< Attempts that have not ended yet.
@@ -81,12 +83,12 @@
 {
   DaemonId holder; ///< Daemon that requests go to: the last that answered, was named or was tried.
   Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
-  std::uint32_t candidate = 0;      ///< Rank of the daemon being tried; see View::RankDaemons().
-  bool hasFollowed = false;         ///< A holder hint was followed since this candidate was chosen.
-  std::optional<TimePoint> askedAt; ///< First request that `holder` has not answered.
-  std::optional<TimePoint> silentSince; ///< First demand that no daemon has answered.
-  std::optional<TimePoint> wantedAt;    ///< Last demand sent for waiting requests.
-  bool isProvenSilent = false;          ///< Requests were refused because no daemon answered.
+  std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
+  bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
+  std::optional<TimePoint> holderUnansweredSince; ///< First request that `holder` has not answered.
+  std::optional<TimePoint> demandUnansweredSince; ///< First demand that no daemon has answered.
+  std::optional<TimePoint> lastWaitingDemandAt;   ///< Last demand sent for waiting requests.
+  bool isUnreachable = false; ///< Requests were refused because no daemon answered.
 };
 
 /* A pause after an endpoint refused an attempt. It doubles with each refusal after a pause, up
@@ -152,9 +154,9 @@
    * or a slot is free, and only the time until a replica is ready if no replica is known. */
   Duration EstimateTime(const Context& aContext, const Request& aRequest) const;
   /* Refuses one queued request of the customer with the most unanswered requests, so that a request
-   * of aFor can be admitted. Returns false if that customer has at most one more of them than aFor,
-   * or if none of its requests is queued. */
-  bool MakeRoom(Context& aContext, const CustomerId& aFor);
+   * of aCustomer can be admitted. Returns false if that customer has at most one more of them than
+   * aCustomer, or if none of its requests is queued. */
+  bool FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer);
   static void Refuse(Context& aContext,
                      const RequestId& aRequest,
                      ResultCode aCode,
@@ -167,16 +169,16 @@
                                            const Target& aTarget,
                                            const Request& aRequest) const;
   /* Returns whether the replica can take one more request of this daemon now. */
-  bool HasRoom(const Context& aContext,
-               const View& aView,
-               const Target& aTarget,
-               const ReplicaLocation& aReplica) const;
-  void Start(Context& aContext,
-             View& aView,
-             Target& aTarget,
-             Request& aRequest,
-             const EndpointId& aEndpoint);
-  void Demand(Context& aContext, View& aView, Target& aTarget);
+  bool CanAcceptRequest(const Context& aContext,
+                        const View& aView,
+                        const Target& aTarget,
+                        const ReplicaLocation& aReplica) const;
+  void StartNextAttempt(Context& aContext,
+                        View& aView,
+                        Target& aTarget,
+                        Request& aRequest,
+                        const EndpointId& aEndpoint);
+  void SendDemand(Context& aContext, View& aView, Target& aTarget);
   DaemonId ChooseHolder(Context& aContext, const View& aView, const ServiceId& aService);
   void Send(Context& aContext, const View& aView, const DaemonId& aTo, Message aMessage) const;
   void OnNotHolder(Context& aContext,
@@ -190,43 +192,45 @@
                      Duration aRetryAfter,
                      TimePoint aDueBefore);
   /* Returns whether demands to the service's cell have gone unanswered for a whole lease length. */
-  bool IsSilent(const Context& aContext, const ServiceId& aService) const;
+  bool IsHolderSilent(const Context& aContext, const ServiceId& aService) const;
   /* Returns whether the target's known replicas are current enough for the request. */
-  bool MayUse(const Context& aContext, const Target& aTarget, const Request& aRequest) const;
-  void ReleaseUse(Request& aRequest);
-  std::size_t InFlight(const EndpointId& aEndpoint) const;
+  bool MayUseReplicas(const Context& aContext,
+                      const Target& aTarget,
+                      const Request& aRequest) const;
+  void ReleaseEndpoint(Request& aRequest);
+  std::size_t CountInFlight(const EndpointId& aEndpoint) const;
   /* Erases targets, backoffs and contacts that are no longer in use. */
-  void Tidy(Context& aContext, View& aView);
+  void EraseUnused(Context& aContext, View& aView);
   void RefreshPlainReplicas(const Context& aContext, const View& aView, Target& aTarget) const;
 
   void OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
   void OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
-  void NoteOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
+  void RecordOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
   /* Marks an answered or cancelled request as abandoned while its attempt is in flight. The attempt
    * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
-  bool IsAloneSuspect(const Context& aContext, const Request& aRequest) const;
+  bool IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const;
   bool MustIsolate(const Context& aContext, const Request& aRequest) const;
   void Isolate(Context& aContext, View& aView, Request& aRequest);
-  void AskIsolation(Context& aContext, View& aView, Request& aRequest);
+  void RequestIsolation(Context& aContext, View& aView, Request& aRequest);
   void EndIsolation(Context& aContext, View& aView, Request& aRequest);
   /* Repeats isolation requests, queues requests that are no longer suspects, and abandons attempts
    * whose reservation has ended. */
-  void ServeIsolated(Context& aContext, View& aView);
-  void Clear(Context& aContext, View& aView, const FingerprintId& aFingerprint);
+  void UpdateIsolatedRequests(Context& aContext, View& aView);
+  void ClearSuspect(Context& aContext, View& aView, const FingerprintId& aFingerprint);
   void Broadcast(Context& aContext, const View& aView, const Message& aMessage) const;
   /* Quarantines the request's fingerprint on all daemons. Returns false if that is disabled. */
-  bool Convict(Context& aContext, View& aView, const Request& aRequest);
+  bool QuarantineFingerprint(Context& aContext, View& aView, const Request& aRequest);
   void Retry(Context& aContext, View& aView, Request& aRequest);
   static ResultCode FailureCode(const Request& aRequest, ResultCode aNotRun);
   void Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter = {});
   void Erase(const RequestId& aRequest);
-  void LeaveQueue(Request& aRequest);
-  void ForgetReplica(const EndpointId& aEndpoint, const ModelId& aModel);
+  void RemoveFromQueues(Request& aRequest);
+  void RemoveReplica(const EndpointId& aEndpoint, const ModelId& aModel);
   void ReportDrained(Context& aContext, View& aView, const EndpointId& aEndpoint);
   void ExpireDeadlines(Context& aContext);
-  void Decide(Context& aContext, View& aView, const ClaimResult& aClaimResult);
+  void ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult);
   Target* FindTarget(const Request& aRequest);
 
   std::unordered_map<RequestId, Request> mRequests;
@@ -236,10 +240,10 @@
   std::map<ServiceId, HolderContact> mHolders;
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
   std::map<CustomerId, std::uint32_t> mQueuedByCustomer;
-  FairClock mClock;
+  FairClock mFairClock;
   ClaimWriter mClaims;
-  Quarantine mQuarantine;
-  std::set<RequestId> mIsolated; ///< Requests that wait for a reserved runner or use one.
+  FingerprintSets mFingerprints;
+  std::set<RequestId> mIsolatedRequests; ///< Requests that wait for a reserved runner or use one.
   RetryBudget mRetryBudget;
 };
 
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -12,38 +12,41 @@
 
 } // namespace
 
-bool Router::IsSilent(const Context& aContext, const ServiceId& aService) const
+bool Router::IsHolderSilent(const Context& aContext, const ServiceId& aService) const
 {
   const auto contact = mHolders.find(aService);
-  return contact != mHolders.end() && contact->second.silentSince &&
-         aContext.now() - *contact->second.silentSince >= aContext.settings().leaseLength;
+  return contact != mHolders.end() && contact->second.demandUnansweredSince &&
+         aContext.now() - *contact->second.demandUnansweredSince >= aContext.settings().leaseLength;
 }
 
-bool Router::MayUse(const Context& aContext, const Target& aTarget, const Request& aRequest) const
+bool Router::MayUseReplicas(const Context& aContext,
+                            const Target& aTarget,
+                            const Request& aRequest) const
 {
-  if (IsPlain(aTarget.artifact) || aTarget.knownUntil > aContext.now()) {
+  if (IsPlainService(aTarget.artifact) || aTarget.replicasValidUntil > aContext.now()) {
     return true;
   }
   // While no holder answers, an expired location is still used for idempotent requests, because
   // they can be repeated if the replica no longer exists.
   return aRequest.repeatability == Repeatability::kIdempotent &&
-         IsSilent(aContext, aTarget.service);
+         IsHolderSilent(aContext, aTarget.service);
 }
 
 DaemonId Router::ChooseHolder(Context& aContext, const View& aView, const ServiceId& aService)
 {
   HolderContact& contact = mHolders[aService];
-  const Duration patience = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
-  const bool isMissing = contact.askedAt && aContext.now() - *contact.askedAt >= patience;
+  const Duration answerTimeout = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
+  const bool isMissing = contact.holderUnansweredSince &&
+                         aContext.now() - *contact.holderUnansweredSince >= answerTimeout;
   if (isMissing || contact.holder.empty()) {
     const auto ranked = aView.RankDaemons(aContext, aService.str());
-    contact.candidate = isMissing ? contact.candidate + 1 : 0;
-    contact.holder = ranked[contact.candidate % ranked.size()];
-    contact.hasFollowed = false;
-    contact.askedAt.reset();
+    contact.candidateRank = isMissing ? contact.candidateRank + 1 : 0;
+    contact.holder = ranked[contact.candidateRank % ranked.size()];
+    contact.hasFollowedHint = false;
+    contact.holderUnansweredSince.reset();
   }
-  if (!contact.askedAt) {
-    contact.askedAt = aContext.now();
+  if (!contact.holderUnansweredSince) {
+    contact.holderUnansweredSince = aContext.now();
   }
   return contact.holder;
 }
@@ -57,34 +60,39 @@
   aView.SendTo(aContext, aTo, std::move(aMessage));
 }
 
-void Router::Demand(Context& aContext, View& aView, Target& aTarget)
+void Router::SendDemand(Context& aContext, View& aView, Target& aTarget)
 {
-  if (aTarget.nextDemand > aContext.now()) {
-    aContext.WakeBy(aTarget.nextDemand);
+  if (aTarget.nextDemandAt > aContext.now()) {
+    aContext.WakeBy(aTarget.nextDemandAt);
     return;
   }
-  aTarget.nextDemand = aContext.now() + aContext.settings().demandInterval;
-  aContext.WakeBy(aTarget.nextDemand);
+  aTarget.nextDemandAt = aContext.now() + aContext.settings().demandInterval;
+  aContext.WakeBy(aTarget.nextDemandAt);
   const DaemonId holder = ChooseHolder(aContext, aView, aTarget.service);
   HolderContact& contact = mHolders[aTarget.service];
   // Long enough for a lease to expire and for another daemon to take it over.
-  const Duration limit = aContext.settings().leaseLength + aContext.settings().memberTimeout;
-  if (contact.silentSince && aContext.now() - *contact.silentSince >= limit && aTarget.hasAsked) {
-    contact.isProvenSilent = true;
+  const Duration unansweredLimit =
+    aContext.settings().leaseLength + aContext.settings().memberTimeout;
+  if (contact.demandUnansweredSince &&
+      aContext.now() - *contact.demandUnansweredSince >= unansweredLimit &&
+      aTarget.isDemandUnanswered) {
+    contact.isUnreachable = true;
     RefuseWaiting(
       aContext, aTarget, ResultCode::kReplicaUnavailable, kDefaultRetryAfter, TimePoint::max());
   }
-  aTarget.hasAsked = !aTarget.queue.empty();
-  if (aTarget.hasAsked) {
+  aTarget.isDemandUnanswered = !aTarget.queue.empty();
+  if (aTarget.isDemandUnanswered) {
     // Time during which no demand was sent does not count as time without an answer. If requests
     // were already refused because no daemon answered, only the last `pause` of the limit is waited
     // again.
     const Duration pause = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
-    const bool hasPaused = !contact.wantedAt || aContext.now() - *contact.wantedAt > pause;
-    if (!contact.silentSince || hasPaused) {
-      contact.silentSince = aContext.now() - (contact.isProvenSilent ? limit - pause : Duration{});
+    const bool hasPaused =
+      !contact.lastWaitingDemandAt || aContext.now() - *contact.lastWaitingDemandAt > pause;
+    if (!contact.demandUnansweredSince || hasPaused) {
+      contact.demandUnansweredSince =
+        aContext.now() - (contact.isUnreachable ? unansweredLimit - pause : Duration{});
     }
-    contact.wantedAt = aContext.now();
+    contact.lastWaitingDemandAt = aContext.now();
   }
   const TimePoint earliest = aTarget.queue.EarliestDeadline();
   Send(aContext,
@@ -120,14 +128,14 @@
   // Only one hint is followed per candidate, so that two daemons that name each other as the holder
   // cannot keep this daemon alternating between them.
   HolderContact& contact = mHolders[aTarget.service];
-  if (aReply.holder.empty() || aReply.holder == contact.holder || contact.hasFollowed) {
+  if (aReply.holder.empty() || aReply.holder == contact.holder || contact.hasFollowedHint) {
     return;
   }
   contact.holder = aReply.holder;
-  contact.hasFollowed = true;
-  contact.askedAt = aContext.now();
-  aTarget.nextDemand = aContext.now();
-  Demand(aContext, aView, aTarget);
+  contact.hasFollowedHint = true;
+  contact.holderUnansweredSince = aContext.now();
+  aTarget.nextDemandAt = aContext.now();
+  SendDemand(aContext, aView, aTarget);
 }
 
 void Router::OnDemandReply(Context& aContext,
@@ -149,8 +157,8 @@
     return; // The reply comes from a former holder.
   }
   contact = { .holder = aFrom, .fence = aReply.fence };
-  target.hasAsked = false;
-  target.readyAt = aContext.now() + aReply.expectedWait;
+  target.isDemandUnanswered = false;
+  target.expectedReadyAt = aContext.now() + aReply.expectedWait;
   if (aReply.status == DemandStatus::kRefused) {
     // With refusesBelow set, only requests with less time left than that are refused.
     const bool isForAll = aReply.refusesBelow <= Duration::zero();
@@ -163,15 +171,15 @@
   }
   if (aReply.status == DemandStatus::kReady) {
     target.replicas = aReply.replicas;
-    target.knownUntil = aContext.now() + aContext.settings().replicaLifetime;
+    target.replicasValidUntil = aContext.now() + aContext.settings().replicaLifetime;
     for (ReplicaLocation& replica : target.replicas) {
       mDraining.erase({ replica.runner, target.artifact.model });
       // Subtracts this daemon's own attempts from the reported load, because ChooseEndpoint() adds
       // their current number.
-      const auto ours = static_cast<std::uint32_t>(InFlight(replica.runner));
-      replica.reportedLoad -= std::min(replica.reportedLoad, ours);
+      const auto ownInFlight = static_cast<std::uint32_t>(CountInFlight(replica.runner));
+      replica.reportedLoad -= std::min(replica.reportedLoad, ownInFlight);
     }
-    aContext.WakeBy(target.knownUntil - aContext.settings().replicaLifetime / 2);
+    aContext.WakeBy(target.replicasValidUntil - aContext.settings().replicaLifetime / 2);
     DispatchTarget(aContext, aView, target);
   }
 }
@@ -181,7 +189,7 @@
                      const DaemonId& aFrom,
                      const DrainMessage& aDrain)
 {
-  ForgetReplica(aDrain.runner, aDrain.model);
+  RemoveReplica(aDrain.runner, aDrain.model);
   mDraining[{ aDrain.runner, aDrain.model }] = { aFrom, aDrain };
   ReportDrained(aContext, aView, aDrain.runner);
 }
@@ -208,7 +216,7 @@
   }
 }
 
-void Router::ForgetReplica(const EndpointId& aEndpoint, const ModelId& aModel)
+void Router::RemoveReplica(const EndpointId& aEndpoint, const ModelId& aModel)
 {
   for (auto& [key, target] : mTargets) {
     if (target.artifact.model != aModel) {
--- a/src/decision/router/router_dispatch.cpp
+++ b/src/decision/router/router_dispatch.cpp
@@ -30,10 +30,10 @@
   }
 }
 
-bool Router::HasRoom(const Context& aContext,
-                     const View& aView,
-                     const Target& aTarget,
-                     const ReplicaLocation& aReplica) const
+bool Router::CanAcceptRequest(const Context& aContext,
+                              const View& aView,
+                              const Target& aTarget,
+                              const ReplicaLocation& aReplica) const
 {
   const bool isDraining = mDraining.contains({ aReplica.runner, aTarget.artifact.model });
   if (isDraining || !aView.IsUsable(aReplica.runner, aContext.now())) {
@@ -69,8 +69,8 @@
                             : std::to_string(aRequest.arrived.prefixHash);
   std::vector<std::tuple<bool, std::uint64_t, const ReplicaLocation*>> ranked;
   for (const ReplicaLocation& replica : aTarget.replicas) {
-    const bool mustBeEmpty = aRequest.suspect && InFlight(replica.runner) > 0;
-    if (mustBeEmpty || !HasRoom(aContext, aView, aTarget, replica)) {
+    const bool mustBeEmpty = aRequest.suspect && CountInFlight(replica.runner) > 0;
+    if (mustBeEmpty || !CanAcceptRequest(aContext, aView, aTarget, replica)) {
       continue;
     }
     ranked.emplace_back(aRequest.failed.contains(replica.runner),
@@ -88,7 +88,7 @@
     const EndpointInfo* info = aView.FindEndpoint(replica->runner);
     const double zoneCost = info->zone == aContext.options().zone ? 0.0 : kOtherZoneCost;
     const double cost =
-      static_cast<double>(InFlight(replica->runner) + replica->reportedLoad) + zoneCost;
+      static_cast<double>(CountInFlight(replica->runner) + replica->reportedLoad) + zoneCost;
     if (!best || cost < bestCost) {
       best = replica->runner;
       bestCost = cost;
@@ -99,32 +99,32 @@
 
 void Router::DispatchTarget(Context& aContext, View& aView, Target& aTarget)
 {
-  if (IsPlain(aTarget.artifact)) {
+  if (IsPlainService(aTarget.artifact)) {
     RefreshPlainReplicas(aContext, aView, aTarget);
   }
-  while (const auto next = aTarget.queue.Peek(mClock)) {
+  while (const auto next = aTarget.queue.Peek(mFairClock)) {
     Request& request = mRequests.at(*next);
     if (MustIsolate(aContext, request)) {
       aTarget.queue.Remove(request.queued);
       Isolate(aContext, aView, request);
       continue;
     }
-    const auto endpoint = MayUse(aContext, aTarget, request)
+    const auto endpoint = MayUseReplicas(aContext, aTarget, request)
                             ? ChooseEndpoint(aContext, aView, aTarget, request)
                             : std::nullopt;
     if (!endpoint) {
       break;
     }
-    Start(aContext, aView, aTarget, request, *endpoint);
+    StartNextAttempt(aContext, aView, aTarget, request, *endpoint);
   }
   if (aTarget.queue.empty()) {
     return;
   }
-  if (IsPlain(aTarget.artifact)) {
+  if (IsPlainService(aTarget.artifact)) {
     aContext.WakeBy(aContext.now() + aContext.settings().demandInterval);
     return;
   }
-  Demand(aContext, aView, aTarget);
+  SendDemand(aContext, aView, aTarget);
 }
 
 void Router::DispatchEndpoint(Context& aContext, View& aView, const EndpointId& aEndpoint)
@@ -134,13 +134,13 @@
     if (target.queue.empty()) {
       continue;
     }
-    const bool isThere =
-      IsPlain(target.artifact) ||
+    const bool isServedThere =
+      IsPlainService(target.artifact) ||
       std::any_of(target.replicas.begin(),
                   target.replicas.end(),
                   [&](const ReplicaLocation& aReplica) { return aReplica.runner == aEndpoint; });
-    const auto rank = target.queue.BestRank(mClock);
-    if (isThere && rank) {
+    const auto rank = target.queue.BestRank(mFairClock);
+    if (isServedThere && rank) {
       waiting.emplace_back(*rank, &target);
     }
   }
@@ -152,14 +152,14 @@
   }
 }
 
-void Router::Start(Context& aContext,
-                   View& aView,
-                   Target& aTarget,
-                   Request& aRequest,
-                   const EndpointId& aEndpoint)
+void Router::StartNextAttempt(Context& aContext,
+                              View& aView,
+                              Target& aTarget,
+                              Request& aRequest,
+                              const EndpointId& aEndpoint)
 {
   aTarget.queue.Remove(aRequest.queued);
-  mClock.Charge(aRequest.arrived.customer, aRequest.queued.weight);
+  mFairClock.Charge(aRequest.arrived.customer, aRequest.queued.weight);
   ++aTarget.startedSince;
   ++aTarget.inFlight;
   if (aRequest.attempt.value == 0) {
@@ -173,19 +173,20 @@
   aRequest.startedAt = aContext.now();
   aRequest.state = RequestState::kInFlight;
   mEndpoints[aEndpoint].inFlight.insert(aRequest.arrived.request);
-  const bool isOnce = aRequest.repeatability == Repeatability::kAtMostOnce;
+  const bool isAtMostOnce = aRequest.repeatability == Repeatability::kAtMostOnce;
   // An at-most-once request may run past its deadline, so that its answer can still be stored.
-  const Duration grace = isOnce ? kLateAnswerGrace : Duration{};
+  const Duration grace = isAtMostOnce ? kLateAnswerGrace : Duration{};
   const bool resumes = aContext.IsEnabled(Mechanism::kResumeOffset);
-  aContext.Emit(StartAttempt{ .request = aRequest.arrived.request,
-                              .attempt = aRequest.attempt,
-                              .endpoint = aEndpoint,
-                              .address = aView.FindEndpoint(aEndpoint)->address,
-                              .resumeOffset = resumes ? aRequest.delivered : 0,
-                              .priority = aRequest.queued.priority,
-                              .reuse = isOnce ? ConnectionReuse::kFresh : ConnectionReuse::kAllowed,
-                              .progressLimit = aContext.settings().progressLimit,
-                              .timeLeft = aRequest.deadline - aContext.now() + grace });
+  aContext.Emit(
+    StartAttempt{ .request = aRequest.arrived.request,
+                  .attempt = aRequest.attempt,
+                  .endpoint = aEndpoint,
+                  .address = aView.FindEndpoint(aEndpoint)->address,
+                  .resumeOffset = resumes ? aRequest.delivered : 0,
+                  .priority = aRequest.queued.priority,
+                  .reuse = isAtMostOnce ? ConnectionReuse::kFresh : ConnectionReuse::kAllowed,
+                  .progressLimit = aContext.settings().progressLimit,
+                  .timeLeft = aRequest.deadline - aContext.now() + grace });
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -17,7 +17,7 @@
 constexpr int kServiceTimeDivisor = 16;
 
 /* Returns whether the caller may get another answer by repeating the request later. */
-bool CanComeBack(ResultCode aCode)
+bool MayRetryLater(ResultCode aCode)
 {
   switch (aCode) {
     case ResultCode::kIdempotencyKeyInProgress:
@@ -32,7 +32,7 @@
   return info.execution == Execution::kNotRun && info.httpStatus >= kTooManyRequests;
 }
 
-bool IsOnce(const Request& aRequest)
+bool IsAtMostOnce(const Request& aRequest)
 {
   return aRequest.repeatability == Repeatability::kAtMostOnce;
 }
@@ -46,7 +46,7 @@
   if (!aRequest.mayHaveRun) {
     return aNotRun;
   }
-  return IsOnce(aRequest) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
+  return IsAtMostOnce(aRequest) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
 }
 
 void Router::OnAttemptEnded(Context& aContext, View& aView, const AttemptEnded& aEnded)
@@ -58,17 +58,17 @@
   }
   Request& request = found->second;
   const EndpointId endpoint = request.endpoint;
-  const bool wasAlone = IsAloneSuspect(aContext, request);
+  const bool wasIsolated = IsIsolatedSuspect(aContext, request);
   request.delivered = std::max(request.delivered, aEnded.delivered);
-  NoteOutcome(aContext, aView, request, aEnded.outcome);
-  ReleaseUse(request);
+  RecordOutcome(aContext, aView, request, aEnded.outcome);
+  ReleaseEndpoint(request);
   EndIsolation(aContext, aView, request);
   if (request.state == RequestState::kAbandoned) {
     OnAbandonedEnded(aContext, request, aEnded);
   } else if (aEnded.outcome == AttemptOutcome::kCompleted) {
     OnCompleted(aContext, request, aEnded);
-  } else if (aEnded.outcome == AttemptOutcome::kCrashed && wasAlone &&
-             Convict(aContext, aView, request)) {
+  } else if (aEnded.outcome == AttemptOutcome::kCrashed && wasIsolated &&
+             QuarantineFingerprint(aContext, aView, request)) {
     Finish(aContext, request, ResultCode::kCrashedEndpoints);
   } else if (aEnded.outcome == AttemptOutcome::kRejected ||
              aEnded.outcome == AttemptOutcome::kCancelled) {
@@ -80,7 +80,10 @@
   DispatchEndpoint(aContext, aView, endpoint);
 }
 
-void Router::NoteOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome)
+void Router::RecordOutcome(Context& aContext,
+                           View& aView,
+                           Request& aRequest,
+                           AttemptOutcome aOutcome)
 {
   bool hasRefused = false;
   switch (aOutcome) {
@@ -94,8 +97,8 @@
       break;
     case AttemptOutcome::kNotRun:
       if (Target* target = FindTarget(aRequest)) {
-        ForgetReplica(aRequest.endpoint, aRequest.arrived.artifact.model);
-        target->nextDemand = std::min(target->nextDemand, aContext.now());
+        RemoveReplica(aRequest.endpoint, aRequest.arrived.artifact.model);
+        target->nextDemandAt = std::min(target->nextDemandAt, aContext.now());
       }
       hasRefused = true;
       break;
@@ -122,7 +125,7 @@
         target->serviceTime =
           isFirst ? time : target->serviceTime + (time - target->serviceTime) / kServiceTimeDivisor;
       }
-      Clear(aContext, aView, aRequest.arrived.fingerprint);
+      ClearSuspect(aContext, aView, aRequest.arrived.fingerprint);
       mEndpoints[aRequest.endpoint].backoffs.erase(aRequest.arrived.artifact.model);
     }
     return;
@@ -139,7 +142,7 @@
 
 void Router::OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded)
 {
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     mClaims.Record(aContext, aEnded.request, ClaimState::kDone, ClaimEnd::kFinal, aEnded);
   }
   aContext.Emit(FinishRequest{ .request = aEnded.request, .code = ResultCode::kOk });
@@ -148,7 +151,7 @@
 
 void Router::OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded)
 {
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     if (aEnded.outcome == AttemptOutcome::kCompleted) {
       mClaims.Record(aContext, aEnded.request, ClaimState::kDone, ClaimEnd::kFinal, aEnded);
     } else if (aRequest.mayHaveRun) {
@@ -162,8 +165,8 @@
 
 void Router::Retry(Context& aContext, View& aView, Request& aRequest)
 {
-  const bool isFinal =
-    IsOnce(aRequest) && aRequest.mayHaveRun && aContext.IsEnabled(Mechanism::kFinalOutcomeUnknown);
+  const bool isFinal = IsAtMostOnce(aRequest) && aRequest.mayHaveRun &&
+                       aContext.IsEnabled(Mechanism::kFinalOutcomeUnknown);
   if (isFinal) {
     Finish(aContext, aRequest, ResultCode::kOutcomeUnknown);
     return;
@@ -200,13 +203,13 @@
 {
   const Duration pause = aRetryAfter.count() > 0 ? aRetryAfter : kDefaultRetryAfter;
   aContext.Emit(FinishRequest{
-    .request = aRequest, .code = aCode, .retryAfter = CanComeBack(aCode) ? pause : Duration{} });
+    .request = aRequest, .code = aCode, .retryAfter = MayRetryLater(aCode) ? pause : Duration{} });
 }
 
 void Router::Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter)
 {
   Refuse(aContext, aRequest.arrived.request, aCode, aRetryAfter);
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     if (aRequest.mayHaveRun) {
       mClaims.Record(
         aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kFinal, {});
@@ -219,18 +222,18 @@
 
 void Router::Abandon(Context& aContext, Request& aRequest)
 {
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     // The attempt is not stopped, so that its answer can still be stored.
     mClaims.Record(
       aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kProvisional, {});
   } else {
     aContext.Emit(StopAttempt{ aRequest.arrived.request, aRequest.attempt });
   }
-  LeaveQueue(aRequest);
+  RemoveFromQueues(aRequest);
   aRequest.state = RequestState::kAbandoned;
 }
 
-void Router::LeaveQueue(Request& aRequest)
+void Router::RemoveFromQueues(Request& aRequest)
 {
   if (aRequest.state == RequestState::kAbandoned) {
     return;
@@ -241,7 +244,7 @@
     }
   }
   if (aRequest.state == RequestState::kIsolating) {
-    mIsolated.erase(aRequest.arrived.request);
+    mIsolatedRequests.erase(aRequest.arrived.request);
   }
   mDeadlines.erase({ aRequest.deadline, aRequest.arrived.request });
   const auto queued = mQueuedByCustomer.find(aRequest.arrived.customer);
@@ -256,7 +259,7 @@
   if (found == mRequests.end()) {
     return;
   }
-  LeaveQueue(found->second);
+  RemoveFromQueues(found->second);
   mRequests.erase(found);
 }
 
@@ -274,7 +277,7 @@
       continue;
     }
     const ResultCode code =
-      IsOnce(request) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
+      IsAtMostOnce(request) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
     Refuse(aContext, id, code);
     Abandon(aContext, request);
   }
@@ -283,14 +286,14 @@
 void Router::OnTransactionResult(Context& aContext, View& aView, const TransactionResult& aResult)
 {
   for (const ClaimResult& claimResult : mClaims.OnResult(aContext, aResult)) {
-    Decide(aContext, aView, claimResult);
+    ApplyClaimResult(aContext, aView, claimResult);
   }
   for (const ClaimResult& claimResult : mClaims.OnWake(aContext)) {
-    Decide(aContext, aView, claimResult);
+    ApplyClaimResult(aContext, aView, claimResult);
   }
 }
 
-void Router::Decide(Context& aContext, View& aView, const ClaimResult& aClaimResult)
+void Router::ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult)
 {
   const auto found = mRequests.find(aClaimResult.request);
   if (found == mRequests.end()) {
--- a/src/decision/router/router_quarantine.cpp
+++ b/src/decision/router/router_quarantine.cpp
@@ -11,7 +11,7 @@
 
 /* Largest number of isolated requests of this daemon, waiting or running. Further suspects are
  * refused at once. */
-constexpr std::size_t kIsolatedLimit = 64;
+constexpr std::size_t kIsolatedRequestLimit = 64;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     Request& request = mRequests.at(other);
     request.suspect = true;
     const FingerprintId& fingerprint = request.arrived.fingerprint;
-    mQuarantine.suspects.Add(
+    mFingerprints.suspects.Add(
       fingerprint, aContext.now() + aContext.settings().quarantineLength, aContext.now());
     suspects.fingerprints.push_back(fingerprint);
   }
@@ -45,7 +45,7 @@
 void Router::OnSuspects(Context& aContext, View& aView, const SuspectsMessage& aSuspects)
 {
   for (const FingerprintId& fingerprint : aSuspects.fingerprints) {
-    mQuarantine.suspects.Add(
+    mFingerprints.suspects.Add(
       fingerprint, aContext.now() + aContext.settings().quarantineLength, aContext.now());
   }
   // This daemon's own attempts on the crashed endpoint are suspects too. The other daemons are told
@@ -64,26 +64,26 @@
   }
 }
 
-bool Router::IsAloneSuspect(const Context& aContext, const Request& aRequest) const
+bool Router::IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const
 {
   if (!aRequest.suspect) {
     return false;
   }
-  if (IsPlain(aRequest.arrived.artifact)) {
-    return InFlight(aRequest.endpoint) == 1;
+  if (IsPlainService(aRequest.arrived.artifact)) {
+    return CountInFlight(aRequest.endpoint) == 1;
   }
-  return !aRequest.isolatedBy.empty() && aContext.now() < aRequest.aloneUntil;
+  return !aRequest.isolationHolder.empty() && aContext.now() < aRequest.reservedUntil;
 }
 
-bool Router::Convict(Context& aContext, View& aView, const Request& aRequest)
+bool Router::QuarantineFingerprint(Context& aContext, View& aView, const Request& aRequest)
 {
   if (!aContext.IsEnabled(Mechanism::kQuarantine)) {
     return false;
   }
-  const ConvictedMessage convicted{ aRequest.arrived.fingerprint,
-                                    aContext.settings().quarantineLength };
-  OnConvicted(aContext, convicted);
-  Broadcast(aContext, aView, convicted);
+  const ConvictedMessage quarantined{ aRequest.arrived.fingerprint,
+                                      aContext.settings().quarantineLength };
+  OnConvicted(aContext, quarantined);
+  Broadcast(aContext, aView, quarantined);
   return true;
 }
 
@@ -92,12 +92,12 @@
   if (!aContext.IsEnabled(Mechanism::kQuarantine)) {
     return;
   }
-  mQuarantine.suspects.Remove(aConvicted.fingerprint);
+  mFingerprints.suspects.Remove(aConvicted.fingerprint);
   if (aConvicted.expiresIn.count() <= 0) {
-    mQuarantine.convicted.Remove(aConvicted.fingerprint); // An operator released the request.
+    mFingerprints.quarantined.Remove(aConvicted.fingerprint); // An operator released the request.
     return;
   }
-  mQuarantine.convicted.Add(
+  mFingerprints.quarantined.Add(
     aConvicted.fingerprint, aContext.now() + aConvicted.expiresIn, aContext.now());
   std::vector<RequestId> waiting;
   for (const auto& [id, request] : mRequests) {
@@ -115,9 +115,9 @@
   }
 }
 
-void Router::Clear(Context& aContext, View& aView, const FingerprintId& aFingerprint)
+void Router::ClearSuspect(Context& aContext, View& aView, const FingerprintId& aFingerprint)
 {
-  if (mQuarantine.suspects.Contains(aFingerprint, aContext.now())) {
+  if (mFingerprints.suspects.Contains(aFingerprint, aContext.now())) {
     OnCleared({ aFingerprint });
     Broadcast(aContext, aView, ClearedMessage{ aFingerprint });
   }
@@ -125,7 +125,7 @@
 
 void Router::OnCleared(const ClearedMessage& aCleared)
 {
-  mQuarantine.suspects.Remove(aCleared.fingerprint);
+  mFingerprints.suspects.Remove(aCleared.fingerprint);
 }
 
 bool Router::MustIsolate(const Context& aContext, const Request& aRequest) const
@@ -133,10 +133,10 @@
   // The endpoints of a plain service have no holder that could reserve one. There a suspect shares
   // the endpoint with no other request of this daemon, but possibly with requests of other daemons.
   const FingerprintId& fingerprint = aRequest.arrived.fingerprint;
-  const bool isMarked = mQuarantine.suspects.Contains(fingerprint, aContext.now()) ||
-                        mQuarantine.convicted.Contains(fingerprint, aContext.now());
+  const bool isMarked = mFingerprints.suspects.Contains(fingerprint, aContext.now()) ||
+                        mFingerprints.quarantined.Contains(fingerprint, aContext.now());
   return isMarked && aContext.IsEnabled(Mechanism::kQuarantine) &&
-         !IsPlain(aRequest.arrived.artifact);
+         !IsPlainService(aRequest.arrived.artifact);
 }
 
 void Router::Isolate(Context& aContext, View& aView, Request& aRequest)
@@ -144,25 +144,25 @@
   const FingerprintId& fingerprint = aRequest.arrived.fingerprint;
   aRequest.state = RequestState::kIsolating;
   aRequest.suspect = true;
-  if (mQuarantine.convicted.Contains(fingerprint, aContext.now())) {
+  if (mFingerprints.quarantined.Contains(fingerprint, aContext.now())) {
     Finish(aContext,
            aRequest,
            aRequest.mayHaveRun ? ResultCode::kCrashedEndpoints : ResultCode::kQuarantined);
     return;
   }
-  if (mIsolated.size() >= kIsolatedLimit) {
+  if (mIsolatedRequests.size() >= kIsolatedRequestLimit) {
     Finish(aContext, aRequest, FailureCode(aRequest, ResultCode::kReplicaUnavailable));
     return;
   }
-  mIsolated.insert(aRequest.arrived.request);
-  AskIsolation(aContext, aView, aRequest);
+  mIsolatedRequests.insert(aRequest.arrived.request);
+  RequestIsolation(aContext, aView, aRequest);
 }
 
-void Router::AskIsolation(Context& aContext, View& aView, Request& aRequest)
+void Router::RequestIsolation(Context& aContext, View& aView, Request& aRequest)
 {
   const ServiceId& service = aRequest.arrived.service;
-  aRequest.isolationAskedAt = aContext.now();
-  ++aRequest.isolationAsk;
+  aRequest.isolationRequestedAt = aContext.now();
+  ++aRequest.isolationRequestNumber;
   aContext.WakeBy(aContext.now() + aContext.settings().demandInterval);
   Send(aContext,
        aView,
@@ -170,7 +170,7 @@
        IsolationRequestMessage{ .cell = CellId{ service.str() },
                                 .artifact = aRequest.arrived.artifact,
                                 .request = aRequest.arrived.request,
-                                .ask = aRequest.isolationAsk,
+                                .ask = aRequest.isolationRequestNumber,
                                 .timeLeft = aRequest.deadline - aContext.now() });
 }
 
@@ -181,14 +181,14 @@
 {
   const auto found = mRequests.find(aGrant.request);
   if (found == mRequests.end() || found->second.state != RequestState::kIsolating) {
-    const bool isInUse = found != mRequests.end() && found->second.isolatedBy == aFrom;
+    const bool isInUse = found != mRequests.end() && found->second.isolationHolder == aFrom;
     if (aGrant.status == IsolationStatus::kGranted && !isInUse) {
       Send(aContext, aView, aFrom, IsolationReleaseMessage{ aGrant.cell, aGrant.request });
     }
     return;
   }
   Request& request = found->second;
-  if (request.isolationAsk != aGrant.ask) {
+  if (request.isolationRequestNumber != aGrant.ask) {
     // The validity of a reply counts from the sending of its request. That time is known only for
     // the last request.
     return;
@@ -196,16 +196,16 @@
   HolderContact& contact = mHolders[request.arrived.service];
   if (aGrant.status == IsolationStatus::kNotHolder) {
     const bool isNew = !aGrant.holder.empty() && aGrant.holder != contact.holder;
-    if (isNew && !contact.hasFollowed) {
+    if (isNew && !contact.hasFollowedHint) {
       contact.holder = aGrant.holder;
-      contact.hasFollowed = true;
-      contact.askedAt = aContext.now();
-      AskIsolation(aContext, aView, request);
+      contact.hasFollowedHint = true;
+      contact.holderUnansweredSince = aContext.now();
+      RequestIsolation(aContext, aView, request);
     }
     return;
   }
-  contact.askedAt.reset();
-  contact.silentSince.reset();
+  contact.holderUnansweredSince.reset();
+  contact.demandUnansweredSince.reset();
   if (aGrant.status == IsolationStatus::kRefused) {
     Finish(aContext, request, FailureCode(request, ResultCode::kReplicaUnavailable));
     return;
@@ -214,55 +214,56 @@
   if (!isGranted || !aView.IsUsable(aGrant.runner, aContext.now())) {
     return;
   }
-  request.isolatedBy = aFrom;
-  request.aloneUntil = request.isolationAskedAt + aGrant.validFor;
+  request.isolationHolder = aFrom;
+  request.reservedUntil = request.isolationRequestedAt + aGrant.validFor;
   Target& target = mTargets[{ request.arrived.service, request.arrived.artifact }];
   target.service = request.arrived.service;
   target.artifact = request.arrived.artifact;
-  Start(aContext, aView, target, request, aGrant.runner);
-  aContext.WakeBy(request.aloneUntil);
+  StartNextAttempt(aContext, aView, target, request, aGrant.runner);
+  aContext.WakeBy(request.reservedUntil);
 }
 
 void Router::EndIsolation(Context& aContext, View& aView, Request& aRequest)
 {
-  if (aRequest.isolatedBy.empty()) {
+  if (aRequest.isolationHolder.empty()) {
     return;
   }
   const RequestId& id = aRequest.arrived.request;
   Send(aContext,
        aView,
-       aRequest.isolatedBy,
+       aRequest.isolationHolder,
        IsolationReleaseMessage{ CellId{ aRequest.arrived.service.str() }, id });
-  aRequest.isolatedBy = {};
-  mIsolated.erase(id);
+  aRequest.isolationHolder = {};
+  mIsolatedRequests.erase(id);
 }
 
-void Router::ServeIsolated(Context& aContext, View& aView)
+void Router::UpdateIsolatedRequests(Context& aContext, View& aView)
 {
-  for (const RequestId& id : std::set<RequestId>{ mIsolated }) {
+  for (const RequestId& id : std::set<RequestId>{ mIsolatedRequests }) {
     const auto found = mRequests.find(id);
     if (found == mRequests.end()) {
       continue;
     }
     Request& request = found->second;
     if (request.state == RequestState::kIsolating) {
-      const TimePoint next = request.isolationAskedAt + aContext.settings().demandInterval;
+      const TimePoint next = request.isolationRequestedAt + aContext.settings().demandInterval;
       if (next > aContext.now()) {
         aContext.WakeBy(next);
       } else if (MustIsolate(aContext, request)) {
-        AskIsolation(aContext, aView, request);
+        RequestIsolation(aContext, aView, request);
       } else {
-        mIsolated.erase(id);
+        mIsolatedRequests.erase(id);
         Enqueue(aContext, aView, request);
       }
-    } else if (request.state == RequestState::kInFlight && request.aloneUntil <= aContext.now()) {
+    } else if (request.state == RequestState::kInFlight &&
+               request.reservedUntil <= aContext.now()) {
       // Other requests may use the runner when the reservation has ended, so the attempt is given
       // up.
       const ResultCode code = FailureCode(request, ResultCode::kAttemptsExhausted);
       Refuse(aContext, id, code);
       Abandon(aContext, request);
     } else if (request.state == RequestState::kInFlight) {
-      aContext.WakeBy(request.aloneUntil);
+      aContext.WakeBy(request.reservedUntil);
     }
   }
 }
@@ -271,8 +272,8 @@
                                   const View& aView,
                                   const QuarantineReleased& aReleased)
 {
-  mQuarantine.convicted.Remove(aReleased.fingerprint);
-  mQuarantine.suspects.Remove(aReleased.fingerprint);
+  mFingerprints.quarantined.Remove(aReleased.fingerprint);
+  mFingerprints.suspects.Remove(aReleased.fingerprint);
   // A ConvictedMessage without validity makes the other daemons remove the fingerprint.
   for (const auto& [id, member] : aView.members()) {
     aView.SendTo(aContext, id, ConvictedMessage{ aReleased.fingerprint, Duration{} });
