--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -88,11 +88,11 @@
   bool hasRefused = false;
   switch (aOutcome) {
     case AttemptOutcome::kNotConnected:
-      aView.NoteRefused(aContext, aRequest.endpoint);
+      aView.RecordRefusedConnection(aContext, aRequest.endpoint);
       hasRefused = true;
       break;
     case AttemptOutcome::kLeaving:
-      aView.NoteLeaving(aContext, aRequest.endpoint);
+      aView.RecordLeaving(aContext, aRequest.endpoint);
       hasRefused = true;
       break;
     case AttemptOutcome::kNotRun:
@@ -103,7 +103,7 @@
       hasRefused = true;
       break;
     case AttemptOutcome::kCrashed:
-      aView.NoteRefused(aContext, aRequest.endpoint);
+      aView.RecordRefusedConnection(aContext, aRequest.endpoint);
       OnCrashed(aContext, aView, aRequest.endpoint);
       break;
     case AttemptOutcome::kCut:
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /* Time for which no requests are sent to an endpoint after it refused a connection. */
-constexpr Duration kRefusedPause = 500ms;
+constexpr Duration kRefusedConnectionBackoff = 500ms;
 /* Time for which a leaving notice is repeated with each heartbeat, because messages may be lost. */
-constexpr Duration kLeavingRepeat = 10s;
+constexpr Duration kLeavingNoticeRepeatTime = 10s;
 
 } // namespace
 
@@ -47,13 +47,14 @@
   if (member != nullptr && !member->incarnation.empty() && member->incarnation != aIncarnation.id) {
     return true;
   }
-  if (mHostsKnown && member != nullptr && member->wasListed && !member->listed) {
+  if (mHasHostList && member != nullptr && member->hasBeenListed && !member->isListed) {
     return true; // The daemon was on the host list and no longer is.
   }
   const TimePoint now = aContext.now();
   const Duration limit = aContext.settings().memberTimeout;
-  const bool isHeard = member != nullptr && member->heardAt && now - *member->heardAt <= limit;
-  if (!mHostsKnown || isHeard || (member != nullptr && member->listed)) {
+  const bool isReachable =
+    member != nullptr && member->lastMessageAt && now - *member->lastMessageAt <= limit;
+  if (!mHasHostList || isReachable || (member != nullptr && member->isListed)) {
     mAbsentSince.erase(aIncarnation);
     return false;
   }
@@ -67,7 +68,8 @@
   std::vector<std::pair<std::uint64_t, DaemonId>> ranked;
   ranked.emplace_back(RendezvousWeight(aKey, aContext.self().daemon.str()), aContext.self().daemon);
   for (const auto& [id, member] : mMembers) {
-    if (!member.heardAt || aContext.now() - *member.heardAt > aContext.settings().memberTimeout) {
+    if (!member.lastMessageAt ||
+        aContext.now() - *member.lastMessageAt > aContext.settings().memberTimeout) {
       continue;
     }
     ranked.emplace_back(RendezvousWeight(aKey, id.str()), id);
@@ -89,11 +91,11 @@
   for (const auto& [id, member] : mMembers) {
     // Right after the start no messages have arrived. Then listed daemons count, so that daemons
     // that start together do not all rank themselves first.
-    const bool isHeard =
-      member.heardAt
-        ? aContext.now() - *member.heardAt <= aContext.settings().memberTimeout
-        : member.listed && aContext.now() - mHostsKnownSince <= aContext.settings().memberTimeout;
-    if (!isHeard ||
+    const bool isReachable =
+      member.lastMessageAt
+        ? aContext.now() - *member.lastMessageAt <= aContext.settings().memberTimeout
+        : member.isListed && aContext.now() - mFirstHostListAt <= aContext.settings().memberTimeout;
+    if (!isReachable ||
         std::pair{ RendezvousWeight(aKey, id.str()), std::string_view{ id.str() } } < own) {
       continue;
     }
@@ -106,13 +108,13 @@
 
 void View::OnHostList(Context& aContext, const HostListReceived& aList)
 {
-  mHostsKnownSince = mHostsKnown ? mHostsKnownSince : aContext.now();
-  mHostsKnown = true;
+  mFirstHostListAt = mHasHostList ? mFirstHostListAt : aContext.now();
+  mHasHostList = true;
   for (auto& [id, info] : mEndpoints) {
     info.state = EndpointState::kGone;
   }
   for (auto& [id, member] : mMembers) {
-    member.listed = false;
+    member.isListed = false;
   }
   for (const HostEntry& host : aList.hosts) {
     if (host.kind == HostKind::kDaemon) {
@@ -122,8 +124,8 @@
       Member& member = mMembers[DaemonId{ host.id }];
       member.id = DaemonId{ host.id };
       member.address = host.address;
-      member.listed = true;
-      member.wasListed = true;
+      member.isListed = true;
+      member.hasBeenListed = true;
       member.lastListedAt = aContext.now();
       continue;
     }
@@ -137,10 +139,10 @@
     info.zone = host.zone;
     info.address = host.address;
     if (host.state == HostState::kLeaving) {
-      mLeavingBoots[info.id] = host.bootId; // A later list may lag and show it as live.
+      mLeavingBootIds[info.id] = host.bootId; // A later list may lag and show it as live.
     }
-    const auto leaving = mLeavingBoots.find(info.id);
-    const bool knownLeaving = leaving != mLeavingBoots.end() && leaving->second == host.bootId;
+    const auto leaving = mLeavingBootIds.find(info.id);
+    const bool knownLeaving = leaving != mLeavingBootIds.end() && leaving->second == host.bootId;
     info.state = host.state == HostState::kDrained || knownLeaving ? EndpointState::kLeaving
                                                                    : EndpointState::kLive;
   }
@@ -150,44 +152,45 @@
   for (const auto& [id, info] : mEndpoints) {
     mEndpointsOf[info.service].push_back(id);
   }
-  std::erase_if(mLeavingBoots,
+  std::erase_if(mLeavingBootIds,
                 [this](const auto& aItem) { return !mEndpoints.contains(aItem.first); });
-  std::erase_if(mLeavingSaid,
-                [this](const auto& aItem) { return !mLeavingBoots.contains(aItem.first); });
+  std::erase_if(mLeavingReportedAt,
+                [this](const auto& aItem) { return !mLeavingBootIds.contains(aItem.first); });
   std::erase_if(mMembers, [&](const auto& aItem) {
     const Member& member = aItem.second;
-    const TimePoint lastSeen = std::max(member.heardAt.value_or(TimePoint{}), member.lastListedAt);
-    return !member.listed && aContext.now() - lastSeen > 2 * aContext.settings().memberTimeout;
+    const TimePoint lastSeen =
+      std::max(member.lastMessageAt.value_or(TimePoint{}), member.lastListedAt);
+    return !member.isListed && aContext.now() - lastSeen > 2 * aContext.settings().memberTimeout;
   });
 }
 
-void View::NoteMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion)
+void View::RecordMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion)
 {
   Member& member = mMembers[aFrom.daemon];
   member.id = aFrom.daemon;
   member.incarnation = aFrom.id;
   member.version = std::max(member.version, aVersion);
-  member.heardAt = aContext.now();
+  member.lastMessageAt = aContext.now();
 }
 
 void View::OnMessage(Context& aContext, const MessageReceived& aReceived)
 {
-  NoteMember(aContext, aReceived.from, aReceived.senderVersion);
+  RecordMember(aContext, aReceived.from, aReceived.senderVersion);
   if (const auto* heartbeat = std::get_if<HeartbeatMessage>(&aReceived.message)) {
     OnHeartbeat(aContext, aReceived, *heartbeat);
   } else if (const auto* wanted = std::get_if<ConfigurationRequestMessage>(&aReceived.message)) {
-    if (mRow.version >= wanted->atLeast && mRow.version.value > 0) {
-      SendTo(aContext, aReceived.from.daemon, ConfigurationMessage{ mRow });
+    if (mConfigurationRow.version >= wanted->atLeast && mConfigurationRow.version.value > 0) {
+      SendTo(aContext, aReceived.from.daemon, ConfigurationMessage{ mConfigurationRow });
     }
   } else if (const auto* leaving = std::get_if<EndpointLeavingMessage>(&aReceived.message)) {
     const auto found = mEndpoints.find(leaving->endpoint);
     if (found != mEndpoints.end() && found->second.bootId == leaving->bootId &&
         aContext.IsEnabled(Mechanism::kLeavingNotice)) {
       found->second.state = EndpointState::kLeaving;
-      mLeavingBoots[leaving->endpoint] = leaving->bootId;
+      mLeavingBootIds[leaving->endpoint] = leaving->bootId;
     }
   }
-  if (aReceived.senderVersion > mRow.version) {
+  if (aReceived.senderVersion > mConfigurationRow.version) {
     SendTo(aContext, aReceived.from.daemon, ConfigurationRequestMessage{ aReceived.senderVersion });
   }
   UpdateReadiness(aContext);
@@ -198,48 +201,49 @@
                        const HeartbeatMessage& aHeartbeat)
 {
   if (!aHeartbeat.reply) {
-    SendTo(
-      aContext, aReceived.from.daemon, HeartbeatMessage{ mRow.version, true, aHeartbeat.sentAt });
+    SendTo(aContext,
+           aReceived.from.daemon,
+           HeartbeatMessage{ mConfigurationRow.version, true, aHeartbeat.sentAt });
     return;
   }
   // An answer is at least as recent as its request, so the age of the information is counted from
   // the sending of the request, however long the answer took.
   Member& member = mMembers[aReceived.from.daemon];
   if (aHeartbeat.sentAt.count() > 0) {
-    member.confirmedAt = std::max(member.confirmedAt, TimePoint{ aHeartbeat.sentAt });
+    member.versionConfirmedAt = std::max(member.versionConfirmedAt, TimePoint{ aHeartbeat.sentAt });
   }
 }
 
 void View::OnReadResult(Context& aContext, const ReadResult& aResult)
 {
-  if (aResult.read != mPoll) {
+  if (aResult.read != mPollRead) {
     return;
   }
-  mPoll = {};
+  mPollRead = {};
   // The row was read at or after the start of the poll, so its age is counted from that start.
   if (aResult.ok) {
     const Row* head = aResult.rows.empty() ? nullptr : &aResult.rows.front();
     const auto* row =
       head != nullptr && head->value ? std::get_if<ConfigurationRow>(&*head->value) : nullptr;
-    if (row == nullptr || row->version <= mRow.version) {
-      mConfirmedAt = mPollStarted;
+    if (row == nullptr || row->version <= mConfigurationRow.version) {
+      mTableConfirmedAt = mPollStartedAt;
     }
   }
-  mNextPoll = aContext.now() + aContext.settings().configurationPoll;
-  aContext.WakeBy(mNextPoll);
+  mNextPollAt = aContext.now() + aContext.settings().configurationPoll;
+  aContext.WakeBy(mNextPollAt);
   UpdateReadiness(aContext);
 }
 
 void View::OnConfiguration(Context& aContext, const ConfigurationLoaded& aLoaded)
 {
-  const bool isOlder = aLoaded.row.version <= mRow.version;
+  const bool isOlder = aLoaded.row.version <= mConfigurationRow.version;
   if (isOlder && aContext.IsEnabled(Mechanism::kVersionMonotonic)) {
     return;
   }
-  mRow = aLoaded.row;
+  mConfigurationRow = aLoaded.row;
   mConfiguration = aLoaded.configuration;
   aContext.Emit(PublishConfiguration{ mConfiguration });
-  Broadcast(aContext, HeartbeatMessage{ mRow.version, true });
+  Broadcast(aContext, HeartbeatMessage{ mConfigurationRow.version, true });
   UpdateReadiness(aContext);
 }
 
@@ -252,13 +256,13 @@
 
 void View::PollConfiguration(Context& aContext)
 {
-  if (mPoll.empty() && mNextPoll <= aContext.now()) {
-    mPoll = ChangeId{ aContext.NewName() };
-    mPollStarted = aContext.now();
-    aContext.Emit(TableRead{ mPoll, { ConfigurationHeadKey() } });
+  if (mPollRead.empty() && mNextPollAt <= aContext.now()) {
+    mPollRead = ChangeId{ aContext.NewName() };
+    mPollStartedAt = aContext.now();
+    aContext.Emit(TableRead{ mPollRead, { ConfigurationHeadKey() } });
   }
-  if (mPoll.empty()) {
-    aContext.WakeBy(mNextPoll);
+  if (mPollRead.empty()) {
+    aContext.WakeBy(mNextPollAt);
   }
 }
 
@@ -268,34 +272,36 @@
     if (member.address.empty()) {
       continue;
     }
-    if (member.nextHeartbeat <= aContext.now()) {
-      member.nextHeartbeat = aContext.now() + aContext.settings().heartbeatInterval;
+    if (member.nextHeartbeatAt <= aContext.now()) {
+      member.nextHeartbeatAt = aContext.now() + aContext.settings().heartbeatInterval;
       SendTo(
-        aContext, id, HeartbeatMessage{ mRow.version, false, aContext.now().time_since_epoch() });
-      RepeatLeaving(aContext, id);
+        aContext,
+        id,
+        HeartbeatMessage{ mConfigurationRow.version, false, aContext.now().time_since_epoch() });
+      RepeatLeavingNotices(aContext, id);
     }
-    aContext.WakeBy(member.nextHeartbeat);
+    aContext.WakeBy(member.nextHeartbeatAt);
   }
 }
 
-bool View::HearsMajority(const Context& aContext) const
+bool View::IsConfirmedByMajority(const Context& aContext) const
 {
-  std::size_t listed = 0;
-  std::size_t heard = 0;
+  std::size_t isListed = 0;
+  std::size_t confirmed = 0;
   for (const auto& [id, member] : mMembers) {
-    if (!member.listed) {
+    if (!member.isListed) {
       continue;
     }
-    ++listed;
+    ++isListed;
     const bool isCurrent =
-      member.confirmedAt != TimePoint{} &&
-      aContext.now() - member.confirmedAt <= aContext.settings().freshnessLimit;
-    if (isCurrent && member.version <= mRow.version) {
-      ++heard;
+      member.versionConfirmedAt != TimePoint{} &&
+      aContext.now() - member.versionConfirmedAt <= aContext.settings().freshnessLimit;
+    if (isCurrent && member.version <= mConfigurationRow.version) {
+      ++confirmed;
     }
   }
   // Both counts include this daemon.
-  return listed > 0 && 2 * (heard + 1) > listed + 1;
+  return isListed > 0 && 2 * (confirmed + 1) > isListed + 1;
 }
 
 bool View::IsFresh(const Context& aContext) const
@@ -304,8 +310,8 @@
     return true;
   }
   const bool isConfirmed =
-    mConfirmedAt && aContext.now() - *mConfirmedAt <= aContext.settings().freshnessLimit;
-  return isConfirmed || HearsMajority(aContext);
+    mTableConfirmedAt && aContext.now() - *mTableConfirmedAt <= aContext.settings().freshnessLimit;
+  return isConfirmed || IsConfirmedByMajority(aContext);
 }
 
 void View::UpdateReadiness(Context& aContext)
@@ -314,7 +320,7 @@
     return;
   }
   Readiness readiness = Readiness::kStarting;
-  if (mRow.version.value > 0 && mHostsKnown) {
+  if (mConfigurationRow.version.value > 0 && mHasHostList) {
     readiness = IsFresh(aContext) ? Readiness::kReady : Readiness::kStale;
   }
   if (readiness != mReadiness) {
@@ -323,38 +329,38 @@
   }
 }
 
-void View::NoteLeaving(Context& aContext, const EndpointId& aEndpoint)
+void View::RecordLeaving(Context& aContext, const EndpointId& aEndpoint)
 {
   const auto found = mEndpoints.find(aEndpoint);
   if (found == mEndpoints.end() || found->second.state == EndpointState::kLeaving) {
     return;
   }
   found->second.state = EndpointState::kLeaving;
-  mLeavingBoots[aEndpoint] = found->second.bootId;
-  mLeavingSaid[aEndpoint] = aContext.now();
+  mLeavingBootIds[aEndpoint] = found->second.bootId;
+  mLeavingReportedAt[aEndpoint] = aContext.now();
   if (aContext.IsEnabled(Mechanism::kLeavingNotice)) {
     Broadcast(aContext, EndpointLeavingMessage{ aEndpoint, found->second.bootId });
   }
 }
 
-void View::RepeatLeaving(Context& aContext, const DaemonId& aDaemon)
+void View::RepeatLeavingNotices(Context& aContext, const DaemonId& aDaemon)
 {
   if (!aContext.IsEnabled(Mechanism::kLeavingNotice)) {
     return;
   }
-  for (const auto& [endpoint, saidAt] : mLeavingSaid) {
-    const auto boot = mLeavingBoots.find(endpoint);
-    if (boot != mLeavingBoots.end() && aContext.now() - saidAt <= kLeavingRepeat) {
+  for (const auto& [endpoint, reportedAt] : mLeavingReportedAt) {
+    const auto boot = mLeavingBootIds.find(endpoint);
+    if (boot != mLeavingBootIds.end() && aContext.now() - reportedAt <= kLeavingNoticeRepeatTime) {
       SendTo(aContext, aDaemon, EndpointLeavingMessage{ endpoint, boot->second });
     }
   }
 }
 
-void View::NoteRefused(const Context& aContext, const EndpointId& aEndpoint)
+void View::RecordRefusedConnection(const Context& aContext, const EndpointId& aEndpoint)
 {
   const auto found = mEndpoints.find(aEndpoint);
   if (found != mEndpoints.end()) {
-    found->second.refusedUntil = aContext.now() + kRefusedPause;
+    found->second.refusedUntil = aContext.now() + kRefusedConnectionBackoff;
   }
 }
 
@@ -385,13 +391,14 @@
 
 void View::Dump(std::vector<DumpEntry>& aOut, TimePoint aNow) const
 {
-  aOut.push_back({ "view.configuration", std::to_string(mRow.version.value) });
+  aOut.push_back({ "view.configuration", std::to_string(mConfigurationRow.version.value) });
   aOut.push_back({ "view.readiness", std::to_string(static_cast<int>(mReadiness)) });
   for (const auto& [id, member] : mMembers) {
     const std::string path = "view.members." + id.str();
     const auto age =
-      member.heardAt ? std::chrono::duration_cast<std::chrono::milliseconds>(aNow - *member.heardAt)
-                     : -1ms;
+      member.lastMessageAt
+        ? std::chrono::duration_cast<std::chrono::milliseconds>(aNow - *member.lastMessageAt)
+        : -1ms;
     aOut.push_back({ path + ".heard_ms_ago", std::to_string(age.count()) });
     aOut.push_back({ path + ".configuration", std::to_string(member.version.value) });
   }
--- a/src/decision/view/view_base.h
+++ b/src/decision/view/view_base.h
@@ -37,14 +37,14 @@
 {
   DaemonId id;
   std::string address;
-  IncarnationId incarnation; ///< Its latest known process; empty until a message arrives from it.
-  ConfigVersion version;     ///< Highest configuration version that it has reported.
-  bool listed = false;       ///< On the current host list.
-  bool wasListed = false;    ///< Has been on a host list.
-  TimePoint lastListedAt{};  ///< Time of the last host list with it.
-  std::optional<TimePoint> heardAt; ///< Time of its last message.
-  TimePoint confirmedAt{};          ///< Sending time of the last heartbeat that it answered.
-  TimePoint nextHeartbeat{};
+  IncarnationId incarnation;  ///< Its latest known process; empty until a message arrives from it.
+  ConfigVersion version;      ///< Highest configuration version that it has reported.
+  bool isListed = false;      ///< On the current host list.
+  bool hasBeenListed = false; ///< Has been on a host list.
+  TimePoint lastListedAt{};   ///< Time of the last host list with it.
+  std::optional<TimePoint> lastMessageAt; ///< Time of its last message.
+  TimePoint versionConfirmedAt{};         ///< Sending time of the last heartbeat that it answered.
+  TimePoint nextHeartbeatAt{};
 };
 
 /* The fleet as one daemon knows it. It may lag behind: the host list arrives late, and messages
@@ -89,9 +89,9 @@
   void OnWake(Context& aContext);
 
   /* Marks an endpoint as leaving after it reported so itself, and notifies the other daemons. */
-  void NoteLeaving(Context& aContext, const EndpointId& aEndpoint);
+  void RecordLeaving(Context& aContext, const EndpointId& aEndpoint);
   /* Marks an endpoint that refused a connection as unusable for a short time. */
-  void NoteRefused(const Context& aContext, const EndpointId& aEndpoint);
+  void RecordRefusedConnection(const Context& aContext, const EndpointId& aEndpoint);
   /* Sets the readiness to kStopping, for good. */
   void NoteStopping(Context& aContext);
 
@@ -103,37 +103,38 @@
   void OnHeartbeat(Context& aContext,
                    const MessageReceived& aReceived,
                    const HeartbeatMessage& aHeartbeat);
-  void NoteMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion);
+  void RecordMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion);
   /* Sends a daemon the leaving notices of the last seconds again, as messages may be lost. */
-  void RepeatLeaving(Context& aContext, const DaemonId& aDaemon);
+  void RepeatLeavingNotices(Context& aContext, const DaemonId& aDaemon);
   void UpdateReadiness(Context& aContext);
   /* Returns whether the table or a majority of daemons confirmed the configuration version within
    * freshnessLimit. */
   bool IsFresh(const Context& aContext) const;
   /* Returns whether this daemon and those that confirmed within freshnessLimit that they have no
    * newer version are more than half of the listed daemons. */
-  bool HearsMajority(const Context& aContext) const;
+  bool IsConfirmedByMajority(const Context& aContext) const;
   void SendHeartbeats(Context& aContext);
   void PollConfiguration(Context& aContext);
   void Broadcast(Context& aContext, const Message& aMessage) const;
 
   std::shared_ptr<const Configuration> mConfiguration = std::make_shared<Configuration>();
-  ConfigurationRow mRow;
+  ConfigurationRow mConfigurationRow;
   std::map<EndpointId, EndpointInfo> mEndpoints;
   std::map<ServiceId, std::vector<EndpointId>> mEndpointsOf;
   std::map<DaemonId, Member> mMembers;
-  std::map<EndpointId, std::string> mLeavingBoots; ///< Boot ids of endpoints known to be leaving.
-  std::map<EndpointId, TimePoint> mLeavingSaid;    ///< When they reported it to this daemon.
+  std::map<EndpointId, std::string> mLeavingBootIds; ///< Boot ids of endpoints known to be leaving.
+  std::map<EndpointId, TimePoint> mLeavingReportedAt; ///< When they reported it to this daemon.
   /* When IsProvenDead() first found a process neither listed nor sending messages. An entry is
    * erased when a call finds otherwise. */
   mutable std::map<Incarnation, TimePoint> mAbsentSince;
   Readiness mReadiness = Readiness::kStarting;
-  bool mHostsKnown = false;              ///< A host list has arrived.
-  TimePoint mHostsKnownSince{};          ///< Arrival time of the first one.
-  std::optional<TimePoint> mConfirmedAt; ///< Start of the last read that showed no newer version.
-  TimePoint mNextPoll{};
-  ChangeId mPoll; ///< The table read in flight, or empty.
-  TimePoint mPollStarted{};
+  bool mHasHostList = false;    ///< A host list has arrived.
+  TimePoint mFirstHostListAt{}; ///< Arrival time of the first one.
+  std::optional<TimePoint>
+    mTableConfirmedAt; ///< Start of the last read that showed no newer version.
+  TimePoint mNextPollAt{};
+  ChangeId mPollRead; ///< The table read in flight, or empty.
+  TimePoint mPollStartedAt{};
 };
 
 } // namespace rhubarbtrail
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /* Runners that crash when they run one of `killers`. All requests in flight there fail, too. */
-struct Crashing
+struct CrashingRunners
 {
-  explicit Crashing(World& aWorld)
+  explicit CrashingRunners(World& aWorld)
     : world(aWorld)
   {
     world.serve = [this](const Started& aStarted) { return Serve(aStarted); };
@@ -27,7 +27,7 @@
     Duration time = 300ms;
     if (isKiller) {
       ++crashes;
-      largest = std::max(largest, batch.size());
+      largestSharedBatch = std::max(largestSharedBatch, batch.size());
       for (const auto& [started, end] : batch) {
         world.Post(started.daemon,
                    50ms,
@@ -46,7 +46,7 @@
   std::set<RequestId> killers;
   std::map<EndpointId, std::vector<std::pair<Started, TimePoint>>> running;
   int crashes = 0;
-  std::size_t largest = 0;
+  std::size_t largestSharedBatch = 0;
 };
 
 } // namespace
@@ -57,7 +57,7 @@
     for (const std::size_t killerAt : { 0, 2 }) {
       INFO(daemons, " daemons, killer at ", killerAt);
       World world({ .daemons = daemons, .runners = 3 });
-      Crashing crashing(world);
+      CrashingRunners crashing(world);
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
         world.Ask({}, daemon); // Loads the model and tells each daemon of it.
       }
@@ -93,7 +93,7 @@
 TEST_CASE("nobody else uses the runner of an isolated suspect")
 {
   World world({ .daemons = 3 });
-  Crashing crashing(world);
+  CrashingRunners crashing(world);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     world.Ask({}, daemon);
   }
@@ -107,7 +107,7 @@
   world.Run(30s);
   CHECK(world.CodeOf(killer) == 5103);
   CHECK(crashing.crashes == 2);
-  CHECK(crashing.largest == 0);
+  CHECK(crashing.largestSharedBatch == 0);
   for (const auto& [request, finished] : world.finished) {
     CHECK((request == killer || finished.finish.code == ResultCode::kOk));
   }
--- a/tests/unit/view_test.cpp
+++ b/tests/unit/view_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /* The view of daemon d0 at a time that the test sets. */
-struct Watcher
+struct ViewFixture
 {
   HostListReceived ListOf(std::initializer_list<const char*> aDaemons) const
   {
@@ -19,13 +19,13 @@
     return list;
   }
 
-  void List(std::initializer_list<const char*> aDaemons)
+  void ReceiveHostList(std::initializer_list<const char*> aDaemons)
   {
     Context context{ now, options, number };
     view.OnHostList(context, ListOf(aDaemons));
   }
 
-  void Hear(const char* aDaemon, const char* aIncarnation)
+  void ReceiveHeartbeat(const char* aDaemon, const char* aIncarnation)
   {
     Context context{ now, options, number };
     view.OnMessage(context,
@@ -50,47 +50,47 @@
 
 TEST_CASE("a daemon that the host list does not show yet is not proven dead")
 {
-  Watcher watcher;
-  watcher.List({ "d0" });
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
-  watcher.now += watcher.options.settings.memberTimeout / 2;
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
-  watcher.List({ "d0", "d1" });
-  watcher.now += 2 * watcher.options.settings.memberTimeout;
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
+  ViewFixture fixture;
+  fixture.ReceiveHostList({ "d0" });
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
+  fixture.now += fixture.options.settings.memberTimeout / 2;
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
+  fixture.ReceiveHostList({ "d0", "d1" });
+  fixture.now += 2 * fixture.options.settings.memberTimeout;
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
 }
 
 TEST_CASE("a daemon that was heard is not proven dead before the list shows it")
 {
-  Watcher watcher;
-  watcher.List({ "d0" });
-  watcher.Hear("d1", "i1");
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
+  ViewFixture fixture;
+  fixture.ReceiveHostList({ "d0" });
+  fixture.ReceiveHeartbeat("d1", "i1");
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
 }
 
 TEST_CASE("a daemon that stays away for longer than the list lags is proven dead")
 {
-  Watcher watcher;
-  watcher.List({ "d0" });
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
-  watcher.now += 2 * watcher.options.settings.memberTimeout;
-  CHECK(watcher.IsProvenDead("d1", "i1"));
+  ViewFixture fixture;
+  fixture.ReceiveHostList({ "d0" });
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
+  fixture.now += 2 * fixture.options.settings.memberTimeout;
+  CHECK(fixture.IsProvenDead("d1", "i1"));
 }
 
 TEST_CASE("a later process of the same daemon proves the former one dead at once")
 {
-  Watcher watcher;
-  watcher.List({ "d0", "d1" });
-  watcher.Hear("d1", "i2");
-  CHECK(watcher.IsProvenDead("d1", "i1"));
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i2"));
+  ViewFixture fixture;
+  fixture.ReceiveHostList({ "d0", "d1" });
+  fixture.ReceiveHeartbeat("d1", "i2");
+  CHECK(fixture.IsProvenDead("d1", "i1"));
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i2"));
 }
 
 TEST_CASE("a daemon that the host list has shown and shows no more is proven dead at once")
 {
-  Watcher watcher;
-  watcher.List({ "d0", "d1" });
-  CHECK_FALSE(watcher.IsProvenDead("d1", "i1"));
-  watcher.List({ "d0" });
-  CHECK(watcher.IsProvenDead("d1", "i1"));
+  ViewFixture fixture;
+  fixture.ReceiveHostList({ "d0", "d1" });
+  CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
+  fixture.ReceiveHostList({ "d0" });
+  CHECK(fixture.IsProvenDead("d1", "i1"));
 }
