--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -43,14 +43,14 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    world.Ask(Keyed());
+    world.SendRequest(Keyed());
     world.Run(row.pause);
     const std::size_t writes = world.transactions;
     if (row.firstDies) {
       world.Kill(0);
       world.Run(1s);
     }
-    const RequestId second = world.Ask(Keyed(row.fingerprint), row.daemon);
+    const RequestId second = world.SendRequest(Keyed(row.fingerprint), row.daemon);
     if (row.pause == 500ms && row.daemon == 0) {
       CHECK(world.transactions == writes);
     }
@@ -65,25 +65,25 @@
   "a request that was refused as not claimed can be sent again, whatever became of the write")
 {
   for (const TableMode mode : { TableMode::kDown, TableMode::kAnswerLost, TableMode::kLate }) {
-    for (const Duration landAfter : { 0ms, 3'000ms, 20'000ms }) {
-      INFO(static_cast<int>(mode), " ", landAfter.count());
+    for (const Duration takesEffectAfter : { 0ms, 3'000ms, 20'000ms }) {
+      INFO(static_cast<int>(mode), " ", takesEffectAfter.count());
       World world({});
       world.mode = mode;
-      const RequestId first = world.Ask(Keyed());
+      const RequestId first = world.SendRequest(Keyed());
       world.Run(2500ms);
       CHECK(world.CodeOf(first) == 2103);
       world.mode = TableMode::kUp;
-      if (landAfter == 0ms) {
-        world.LandLate();
+      if (takesEffectAfter == 0ms) {
+        world.ApplyLateTransactions();
       }
       world.Run(3s);
-      if (landAfter == 3s) {
-        world.LandLate();
+      if (takesEffectAfter == 3s) {
+        world.ApplyLateTransactions();
       }
-      const RequestId second = world.Ask(Keyed());
+      const RequestId second = world.SendRequest(Keyed());
       world.Run(10s);
       CHECK(world.CodeOf(second) == 1000);
-      world.LandLate();
+      world.ApplyLateTransactions();
       world.Run(5s);
       CHECK(world.started.size() == 1);
       REQUIRE(world.ClaimOf("k") != nullptr);
@@ -97,7 +97,7 @@
 {
   World world({});
   world.mode = TableMode::kAnswerLost;
-  const RequestId request = world.Ask(Keyed());
+  const RequestId request = world.SendRequest(Keyed());
   world.Run(100ms);
   world.mode = TableMode::kUp;
   world.Run(3s);
@@ -110,7 +110,7 @@
   World world({});
   world.mode = TableMode::kDown;
   for (int index = 0; index < 1'000; ++index) {
-    world.Ask({ .key = IdempotencyKey{ "k" + std::to_string(index) } });
+    world.SendRequest({ .key = IdempotencyKey{ "k" + std::to_string(index) } });
     world.Run(20ms);
   }
   world.Run(3s);
@@ -129,19 +129,19 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    const RequestId request = world.Ask(Keyed());
+    const RequestId request = world.SendRequest(Keyed());
     world.Run(500ms);
     world.mode = mode;
     world.Apply(0, ShutdownRequested{});
     world.Run(1s);
-    CHECK(world.complete.empty());
+    CHECK(world.completedShutdowns.empty());
     world.Run(30s);
     CHECK(world.CodeOf(request) == 1000);
     REQUIRE(world.ClaimOf("k") != nullptr);
     CHECK((world.ClaimOf("k")->state == ClaimState::kDone) == (mode == TableMode::kUp));
     CHECK(world.DumpOf("router.requests") == "0");
     if (mode == TableMode::kUp) {
-      CHECK(world.complete.size() == 1);
+      CHECK(world.completedShutdowns.size() == 1);
     }
   }
 }
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -50,14 +50,14 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 1s } };
   };
-  world.Ask({}); // Loads the model and gives the router a service time.
+  world.SendRequest({}); // Loads the model and gives the router a service time.
   world.Run(3s);
   std::vector<RequestId> large;
   for (int index = 0; index < 200; ++index) {
-    large.push_back(world.Ask({}));
+    large.push_back(world.SendRequest({}));
   }
-  const RequestId small = world.Ask({ .customer = CustomerId{ "small" }, .timeLeft = 4s });
-  const RequestId hurried = world.Ask({ .timeLeft = 4s });
+  const RequestId small = world.SendRequest({ .customer = CustomerId{ "small" }, .timeLeft = 4s });
+  const RequestId hurried = world.SendRequest({ .timeLeft = 4s });
   CHECK(world.CodeOf(hurried) == 2101);
   world.Run(30s);
   CHECK(world.CodeOf(small) == 1000);
@@ -76,15 +76,15 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 1s } };
   };
-  world.Ask({});
+  world.SendRequest({});
   world.Run(3s);
   for (int index = 0; index < 80; ++index) {
-    world.Ask({});
+    world.SendRequest({});
   }
-  const RequestId hopeless = world.Ask({ .timeLeft = 3s });
+  const RequestId hopeless = world.SendRequest({ .timeLeft = 3s });
   CHECK(world.CodeOf(hopeless) == 2102);
   CHECK(world.finished.at(hopeless).finish.retryAfter > 2s);
-  const RequestId patient = world.Ask({ .timeLeft = 9s });
+  const RequestId patient = world.SendRequest({ .timeLeft = 9s });
   CHECK(world.CodeOf(patient) == 0);
   world.Run(9s);
   CHECK(world.CodeOf(patient) == 1000);
@@ -97,10 +97,10 @@
   world.serve = [&](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, time } };
   };
-  world.Ask({});
+  world.SendRequest({});
   world.Run(15s);
   time = 100ms;
-  const RequestId request = world.Ask({ .timeLeft = 2s });
+  const RequestId request = world.SendRequest({ .timeLeft = 2s });
   world.Run(2s);
   CHECK(world.CodeOf(request) == 1000);
 }
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -59,18 +59,18 @@
       World world({ .daemons = daemons, .runners = 3 });
       CrashingRunners crashing(world);
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        world.Ask({}, daemon); // Loads the model and tells each daemon of it.
+        world.SendRequest({}, daemon); // Loads the model and tells each daemon of it.
       }
       world.Run(2s);
       std::vector<RequestId> innocents;
       for (std::size_t index = 0; index < 6; ++index) {
-        innocents.push_back(world.Ask({}, index % daemons));
+        innocents.push_back(world.SendRequest({}, index % daemons));
       }
       world.Run(50ms);
       const std::size_t at = killerAt % daemons;
       RequestArrived killer{ .fingerprint = FingerprintId{ "killer" } };
       crashing.killers.insert(RequestId{ "r" + std::to_string(daemons + 7) });
-      const RequestId first = world.Ask(killer, at);
+      const RequestId first = world.SendRequest(killer, at);
       REQUIRE(crashing.killers.contains(first));
       world.Run(25s);
       CHECK(world.CodeOf(first) == 5103);
@@ -79,11 +79,11 @@
         CHECK(world.CodeOf(innocent) == 1000);
       }
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        const RequestId again = world.Ask(killer, daemon);
+        const RequestId again = world.SendRequest(killer, daemon);
         CHECK(world.CodeOf(again) == 5101);
         CHECK(world.DumpOf("router.suspects", daemon) == "0");
       }
-      const RequestId after = world.Ask({}, 0);
+      const RequestId after = world.SendRequest({}, 0);
       world.Run(5s);
       CHECK(world.CodeOf(after) == 1000);
     }
@@ -95,14 +95,14 @@
   World world({ .daemons = 3 });
   CrashingRunners crashing(world);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
-    world.Ask({}, daemon);
+    world.SendRequest({}, daemon);
   }
   world.Run(2s);
   crashing.killers.insert(RequestId{ "r4" });
-  const RequestId killer = world.Ask({ .fingerprint = FingerprintId{ "killer" } }, 1);
+  const RequestId killer = world.SendRequest({ .fingerprint = FingerprintId{ "killer" } }, 1);
   for (int index = 0; index < 100; ++index) {
     world.Run(100ms);
-    world.Ask({}, static_cast<std::size_t>(index) % 3);
+    world.SendRequest({}, static_cast<std::size_t>(index) % 3);
   }
   world.Run(30s);
   CHECK(world.CodeOf(killer) == 5103);
@@ -127,10 +127,10 @@
   // The daemon that does not hold the cell dies.
   const std::size_t holder = world.DumpOf("cells.models.held", 0) == "yes" ? 0 : 1;
   const std::size_t victim = 2 - holder;
-  world.Ask({ .fingerprint = FingerprintId{ "f" } }, victim);
+  world.SendRequest({ .fingerprint = FingerprintId{ "f" } }, victim);
   world.Run(5s);
   CHECK(world.started.size() == 2);
-  const RequestId blocked = world.Ask({}, holder);
+  const RequestId blocked = world.SendRequest({}, holder);
   world.Run(2s);
   CHECK(world.CodeOf(blocked) == 0);
   world.Kill(victim);
@@ -145,7 +145,7 @@
   const RequestArrived arrived{ .timeLeft = 20s, .fingerprint = FingerprintId{ "f" } };
   std::vector<RequestId> requests;
   for (int index = 0; index < 40; ++index) {
-    requests.push_back(world.Ask(arrived, 0));
+    requests.push_back(world.SendRequest(arrived, 0));
   }
   world.Run(1s);
   world.Apply(1, QuarantineReleased{ FingerprintId{ "f" } });
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -52,10 +52,10 @@
       const bool isFirst = aStarted.attempt.attempt.value == 1;
       return std::optional{ Served{ isFirst ? row.first : kCompleted, 10ms } };
     };
-    const RequestId request = world.Ask(row.isOnce ? Once("k") : RequestArrived{});
+    const RequestId request = world.SendRequest(row.isOnce ? Once("k") : RequestArrived{});
     world.Run(20s);
     CHECK(world.CodeOf(request) == row.code);
-    CHECK(world.StartsOf(request) == row.starts);
+    CHECK(world.CountStarts(request) == row.starts);
     if (row.isOnce) {
       REQUIRE(world.ClaimOf("k") != nullptr);
       CHECK(world.ClaimOf("k")->state ==
@@ -73,14 +73,14 @@
   RequestArrived arrived = Once("k");
   arrived.timeLeft = 5s;
   arrived.fingerprint = FingerprintId{ "same" };
-  const RequestId first = world.Ask(arrived);
+  const RequestId first = world.SendRequest(arrived);
   world.Run(5500ms);
   CHECK(world.CodeOf(first) == 3101);
   REQUIRE(world.ClaimOf("k") != nullptr);
   CHECK(world.ClaimOf("k")->state == ClaimState::kUnknown);
   world.Run(2s);
   CHECK(world.ClaimOf("k")->state == ClaimState::kDone);
-  const RequestId second = world.Ask(arrived);
+  const RequestId second = world.SendRequest(arrived);
   world.Run(1s);
   CHECK(world.CodeOf(second) == 1000);
   CHECK(world.finished.at(second).finish.storedAnswer == "answer");
@@ -93,20 +93,20 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kNotRun, 1s } };
   };
-  const RequestId request = world.Ask(Once("k"));
+  const RequestId request = world.SendRequest(Once("k"));
   world.Run(500ms);
-  CHECK(world.StartsOf(request) == 1);
+  CHECK(world.CountStarts(request) == 1);
   world.Apply(0, RequestCancelled{ request });
   world.Run(5s);
-  CHECK(world.StartsOf(request) == 1);
+  CHECK(world.CountStarts(request) == 1);
   CHECK(world.ClaimOf("k") == nullptr);
 }
 
 TEST_CASE("a full cell refuses those who cannot wait, and not the others")
 {
   World world({ .runners = 0 });
-  const RequestId hasty = world.Ask({ .timeLeft = 1s });
-  const RequestId patient = world.Ask({ .timeLeft = 14s });
+  const RequestId hasty = world.SendRequest({ .timeLeft = 1s });
+  const RequestId patient = world.SendRequest({ .timeLeft = 14s });
   world.Apply(0,
               MessageReceived{ .from = World::IncarnationOf(0),
                                .senderVersion = { 1 },
@@ -126,7 +126,7 @@
 {
   World world({ .runners = 2 });
   for (int index = 0; index < 50; ++index) {
-    world.Ask({ .service = ServiceId{ index % 2 == 0 ? "models" : "plain" } });
+    world.SendRequest({ .service = ServiceId{ index % 2 == 0 ? "models" : "plain" } });
   }
   world.Run(90s);
   CHECK(world.DumpOf("router.requests") == "0");
@@ -140,8 +140,8 @@
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1;
   } });
   world.serve = [](const Started&) { return std::optional<Served>{}; };
-  const RequestId late = world.Ask({ .timeLeft = 1s });
-  const RequestId full = world.Ask({});
+  const RequestId late = world.SendRequest({ .timeLeft = 1s });
+  const RequestId full = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(full) == 2101);
   CHECK(world.finished.at(full).finish.retryAfter > 0s);
@@ -157,14 +157,14 @@
   world.drop = [](std::size_t, const SendMessage& aMessage) {
     return std::holds_alternative<DemandMessage>(aMessage.message);
   };
-  const RequestId first = world.Ask({});
+  const RequestId first = world.SendRequest({});
   world.Run(15s);
   CHECK(world.CodeOf(first) == 2104);
-  const RequestId second = world.Ask({});
+  const RequestId second = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(second) == 2104);
   world.drop = [](std::size_t, const SendMessage&) { return false; };
-  const RequestId third = world.Ask({});
+  const RequestId third = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(third) == 1000);
 }
@@ -180,7 +180,7 @@
   };
   std::vector<RequestId> requests;
   for (int index = 0; index < 32; ++index) {
-    requests.push_back(world.Ask({}));
+    requests.push_back(world.SendRequest({}));
   }
   world.Run(25s);
   for (const RequestId& request : requests) {
@@ -198,7 +198,7 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 90s } };
   };
-  world.Ask({});
+  world.SendRequest({});
   world.Run(60s);
   std::size_t drains = 0;
   for (const SendMessage& message : world.sent) {
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -23,7 +23,7 @@
   kUp,
   kDown,       ///< No write takes effect, and the outcome is unknown.
   kAnswerLost, ///< Writes take effect, but the outcome is unknown.
-  kLate,       ///< The outcome is unknown. Writes take effect with LandLate().
+  kLate,       ///< The outcome is unknown. Writes take effect with ApplyLateTransactions().
 };
 
 /* How an endpoint ends an attempt. World::serve returns no value for an attempt that does not end
@@ -100,7 +100,7 @@
   }
 
   /* Sends a request to a daemon and returns its id. */
-  RequestId Ask(RequestArrived aArrived, std::size_t aDaemon = 0)
+  RequestId SendRequest(RequestArrived aArrived, std::size_t aDaemon = 0)
   {
     aArrived.request = RequestId{ "r" + std::to_string(++mNextRequest) };
     if (aArrived.customer.empty()) {
@@ -144,7 +144,7 @@
       return;
     }
     for (const Action& action : mDaemons[aDaemon]->Apply(now, aEvent)) {
-      std::visit([&](const auto& aKind) { Do(aDaemon, aKind); }, action);
+      std::visit([&](const auto& aKind) { Execute(aDaemon, aKind); }, action);
     }
   }
 
@@ -160,14 +160,14 @@
   }
 
   /* Lets the transactions of TableMode::kLate take effect. */
-  void LandLate()
+  void ApplyLateTransactions()
   {
-    for (const TableTransaction& transaction : std::exchange(mLate, {})) {
+    for (const TableTransaction& transaction : std::exchange(mLateTransactions, {})) {
       Commit(transaction);
     }
   }
 
-  std::size_t StartsOf(const RequestId& aRequest) const
+  std::size_t CountStarts(const RequestId& aRequest) const
   {
     return static_cast<std::size_t>(
       std::count_if(started.begin(), started.end(), [&](const Started& aStarted) {
@@ -263,7 +263,7 @@
     return result;
   }
 
-  void Do(std::size_t aDaemon, const StartAttempt& aStart)
+  void Execute(std::size_t aDaemon, const StartAttempt& aStart)
   {
     started.push_back({ aDaemon, now, aStart });
     if (const auto served = serve(started.back())) {
@@ -275,7 +275,7 @@
       Post(aDaemon, served->after, ended);
     }
   }
-  void Do(std::size_t aDaemon, const StopAttempt& aStop)
+  void Execute(std::size_t aDaemon, const StopAttempt& aStop)
   {
     Post(aDaemon,
          1ms,
@@ -283,11 +283,11 @@
                        .attempt = aStop.attempt,
                        .outcome = AttemptOutcome::kCancelled });
   }
-  void Do(std::size_t /*aDaemon*/, const FinishRequest& aFinish)
+  void Execute(std::size_t /*aDaemon*/, const FinishRequest& aFinish)
   {
     finished.try_emplace(aFinish.request, Finished{ now, aFinish });
   }
-  void Do(std::size_t aDaemon, const TableTransaction& aTransaction)
+  void Execute(std::size_t aDaemon, const TableTransaction& aTransaction)
   {
     if (!aTransaction.writes.empty() &&
         aTransaction.writes.front().key.str().starts_with("claim/")) {
@@ -301,11 +301,11 @@
     } else if (mode == TableMode::kAnswerLost) {
       Commit(aTransaction);
     } else if (mode == TableMode::kLate) {
-      mLate.push_back(aTransaction);
+      mLateTransactions.push_back(aTransaction);
     }
     Post(aDaemon, mOptions.tableLatency, result);
   }
-  void Do(std::size_t aDaemon, const TableRead& aRead)
+  void Execute(std::size_t aDaemon, const TableRead& aRead)
   {
     ReadResult result{ .read = aRead.read, .ok = mode == TableMode::kUp, .rows = {} };
     for (const RowKey& key : aRead.keys) {
@@ -315,7 +315,7 @@
     }
     Post(aDaemon, mOptions.tableLatency, result);
   }
-  void Do(std::size_t aDaemon, const SendOrder& aOrder)
+  void Execute(std::size_t aDaemon, const SendOrder& aOrder)
   {
     auto& artifacts = loaded[aOrder.runner];
     if (aOrder.kind == OrderKind::kLoadModel) {
@@ -331,7 +331,7 @@
          aOrder.kind == OrderKind::kLoadModel ? 200ms : 1ms,
          OrderResult{ aOrder.cell, aOrder.runner, aOrder.order, OrderOutcome::kDone, inventory });
   }
-  void Do(std::size_t aDaemon, const SendMessage& aMessage)
+  void Execute(std::size_t aDaemon, const SendMessage& aMessage)
   {
     sent.push_back(aMessage);
     if (drop(aDaemon, aMessage)) {
@@ -340,23 +340,26 @@
     const std::size_t to = std::stoul(aMessage.to.str().substr(1));
     Post(to, 1ms, MessageReceived{ IncarnationOf(aDaemon), { 1 }, aMessage.message });
   }
-  void Do(std::size_t aDaemon, const WakeAt& aWake)
+  void Execute(std::size_t aDaemon, const WakeAt& aWake)
   {
     mEvents.emplace(aWake.time, std::pair{ aDaemon, Event{ Wake{} } });
   }
-  void Do(std::size_t /*aDaemon*/, const PublishConfiguration& /*aAction*/) {}
-  void Do(std::size_t /*aDaemon*/, const PublishReadiness& /*aAction*/) {}
-  void Do(std::size_t aDaemon, const ShutdownComplete& /*aAction*/) { complete.insert(aDaemon); }
+  void Execute(std::size_t /*aDaemon*/, const PublishConfiguration& /*aAction*/) {}
+  void Execute(std::size_t /*aDaemon*/, const PublishReadiness& /*aAction*/) {}
+  void Execute(std::size_t aDaemon, const ShutdownComplete& /*aAction*/)
+  {
+    completedShutdowns.insert(aDaemon);
+  }
 
 public:
-  std::set<std::size_t> complete; ///< Daemons that have completed their shutdown.
+  std::set<std::size_t> completedShutdowns; ///< Daemons that have completed their shutdown.
 
 private:
   WorldOptions mOptions;
   std::shared_ptr<const Configuration> mConfiguration;
   std::vector<std::unique_ptr<Node>> mDaemons;
   std::multimap<TimePoint, std::pair<std::size_t, Event>> mEvents;
-  std::vector<TableTransaction> mLate;
+  std::vector<TableTransaction> mLateTransactions;
   std::size_t mEventCount = 0;
   int mNextRequest = 0;
 };
