--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -55,7 +55,7 @@
   request.arrived = aArrived;
   request.repeatability = requestClass.repeatability;
   request.deadline = aContext.now() + timeLeft;
-  request.suspect = mFingerprints.suspects.Contains(aArrived.fingerprint, aContext.now());
+  request.isSuspect = mFingerprints.suspects.Contains(aArrived.fingerprint, aContext.now());
   request.queued = { .request = aArrived.request,
                      .customer = aArrived.customer,
                      .weight = customer.weight,
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -48,12 +48,12 @@
   AttemptNumber attempt;
   EndpointId endpoint; ///< Endpoint of the attempt in flight, else empty.
   TimePoint startedAt{};
-  std::set<EndpointId> failed;       ///< Endpoints that may have run an attempt of this request.
-  std::uint32_t sentAttempts = 0;    ///< Attempts that may have run.
-  std::uint32_t refusedAttempts = 0; ///< Attempts that are known not to have run.
-  std::uint32_t delivered = 0;       ///< Stream events already delivered to the caller.
+  std::set<EndpointId> failedEndpoints; ///< Endpoints that may have run an attempt of this request.
+  std::uint32_t sentAttempts = 0;       ///< Attempts that may have run.
+  std::uint32_t refusedAttempts = 0;    ///< Attempts that are known not to have run.
+  std::uint32_t delivered = 0;          ///< Stream events already delivered to the caller.
   bool mayHaveRun = false;
-  bool suspect = false; ///< A request with its fingerprint was on an endpoint that crashed.
+  bool isSuspect = false; ///< A request with its fingerprint was on an endpoint that crashed.
   std::uint64_t isolationRequestNumber = 0; ///< Number of the last isolation request sent.
   TimePoint isolationRequestedAt{};
   DaemonId isolationHolder;  ///< Holder that reserves the runner for this attempt, else empty.
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -161,12 +161,12 @@
   target.expectedReadyAt = aContext.now() + aReply.expectedWait;
   if (aReply.status == DemandStatus::kRefused) {
     // With refusesBelow set, only requests with less time left than that are refused.
-    const bool isForAll = aReply.refusesBelow <= Duration::zero();
+    const bool refusesAll = aReply.refusesBelow <= Duration::zero();
     RefuseWaiting(aContext,
                   target,
                   aReply.refusal,
                   aReply.expectedWait,
-                  isForAll ? TimePoint::max() : aContext.now() + aReply.refusesBelow);
+                  refusesAll ? TimePoint::max() : aContext.now() + aReply.refusesBelow);
     return;
   }
   if (aReply.status == DemandStatus::kReady) {
--- a/src/decision/router/router_dispatch.cpp
+++ b/src/decision/router/router_dispatch.cpp
@@ -48,7 +48,7 @@
     return false;
   }
   for (const RequestId& other : use->second.inFlight) {
-    if (mRequests.at(other).suspect) {
+    if (mRequests.at(other).isSuspect) {
       return false;
     }
   }
@@ -69,11 +69,11 @@
                             : std::to_string(aRequest.arrived.prefixHash);
   std::vector<std::tuple<bool, std::uint64_t, const ReplicaLocation*>> ranked;
   for (const ReplicaLocation& replica : aTarget.replicas) {
-    const bool mustBeEmpty = aRequest.suspect && CountInFlight(replica.runner) > 0;
+    const bool mustBeEmpty = aRequest.isSuspect && CountInFlight(replica.runner) > 0;
     if (mustBeEmpty || !CanAcceptRequest(aContext, aView, aTarget, replica)) {
       continue;
     }
-    ranked.emplace_back(aRequest.failed.contains(replica.runner),
+    ranked.emplace_back(aRequest.failedEndpoints.contains(replica.runner),
                         ~RendezvousWeight(key, replica.runner.str()),
                         &replica);
   }
@@ -81,8 +81,8 @@
   ranked.resize(std::min(ranked.size(), kCandidates));
   std::optional<EndpointId> best;
   double bestCost = 0;
-  for (const auto& [hasFailed, affinity, replica] : ranked) {
-    if (hasFailed && best) {
+  for (const auto& [hasFailedThere, affinity, replica] : ranked) {
+    if (hasFailedThere && best) {
       break; // An endpoint where this request failed is used only if no other is available.
     }
     const EndpointInfo* info = aView.FindEndpoint(replica->runner);
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -117,7 +117,7 @@
   if (!hasRefused) {
     aRequest.mayHaveRun = true;
     ++aRequest.sentAttempts;
-    aRequest.failed.insert(aRequest.endpoint);
+    aRequest.failedEndpoints.insert(aRequest.endpoint);
     if (aOutcome == AttemptOutcome::kCompleted) {
       if (Target* target = FindTarget(aRequest)) {
         const Duration time = aContext.now() - aRequest.startedAt;
@@ -185,9 +185,9 @@
                                    aContext.settings().retryBudgetBurst };
   // A refused attempt costs the endpoint nothing, and the backoff bounds the number of such
   // attempts. Suspects run one at a time in a cell, which bounds their retries.
-  const bool isFree = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
+  const bool isExemptFromBudget = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
   const bool isAllowed =
-    !aContext.IsEnabled(Mechanism::kRetryBudget) || isFree ||
+    !aContext.IsEnabled(Mechanism::kRetryBudget) || isExemptFromBudget ||
     mRetryBudget.TakeRetry(aRequest.arrived.customer, aRequest.arrived.service, budget);
   if (!isAllowed) {
     Finish(aContext, aRequest, ResultCode::kRetryBudgetSpent);
--- a/src/decision/router/router_quarantine.cpp
+++ b/src/decision/router/router_quarantine.cpp
@@ -31,7 +31,7 @@
   SuspectsMessage suspects{ aEndpoint, info != nullptr ? info->bootId : std::string{}, {} };
   for (const RequestId& other : mEndpoints[aEndpoint].inFlight) {
     Request& request = mRequests.at(other);
-    request.suspect = true;
+    request.isSuspect = true;
     const FingerprintId& fingerprint = request.arrived.fingerprint;
     mFingerprints.suspects.Add(
       fingerprint, aContext.now() + aContext.settings().quarantineLength, aContext.now());
@@ -58,7 +58,7 @@
   const bool isNew =
     std::any_of(use->second.inFlight.begin(),
                 use->second.inFlight.end(),
-                [&](const RequestId& aRequest) { return !mRequests.at(aRequest).suspect; });
+                [&](const RequestId& aRequest) { return !mRequests.at(aRequest).isSuspect; });
   if (isNew) {
     OnCrashed(aContext, aView, aSuspects.endpoint);
   }
@@ -66,7 +66,7 @@
 
 bool Router::IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const
 {
-  if (!aRequest.suspect) {
+  if (!aRequest.isSuspect) {
     return false;
   }
   if (IsPlainService(aRequest.arrived.artifact)) {
@@ -143,7 +143,7 @@
 {
   const FingerprintId& fingerprint = aRequest.arrived.fingerprint;
   aRequest.state = RequestState::kIsolating;
-  aRequest.suspect = true;
+  aRequest.isSuspect = true;
   if (mFingerprints.quarantined.Contains(fingerprint, aContext.now())) {
     Finish(aContext,
            aRequest,
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -87,7 +87,7 @@
 {
   const std::string& self = aContext.self().daemon.str();
   const std::pair own{ RendezvousWeight(aKey, self), std::string_view{ self } };
-  std::size_t better = 0;
+  std::size_t higherRanked = 0;
   for (const auto& [id, member] : mMembers) {
     // Right after the start no messages have arrived. Then listed daemons count, so that daemons
     // that start together do not all rank themselves first.
@@ -99,7 +99,7 @@
         std::pair{ RendezvousWeight(aKey, id.str()), std::string_view{ id.str() } } < own) {
       continue;
     }
-    if (++better >= aCount) {
+    if (++higherRanked >= aCount) {
       return false;
     }
   }
