--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -67,12 +67,10 @@
   ServiceId service;
   FairQueue queue;
   std::vector<ReplicaLocation> replicas;
-  TimePoint
-    replicasValidUntil{};   ///< The replicas may be used until then without another demand reply.
-  TimePoint nextDemandAt{}; ///< Earliest time of the next demand message.
-  TimePoint expectedReadyAt{}; ///< When the holder expects a replica to be ready.
-  bool isDemandUnanswered =
-    false;                ///< The last demand was sent for waiting requests and is unanswered.
+  TimePoint replicasValidUntil{};  ///< Until then the replicas may be used without another reply.
+  TimePoint nextDemandAt{};        ///< Earliest time of the next demand message.
+  TimePoint expectedReadyAt{};     ///< When the holder expects a replica to be ready.
+  bool isDemandUnanswered = false; ///< The last demand was for waiting requests, without an answer.
   Duration serviceTime{}; ///< Exponentially weighted mean over completed attempts; 0 if unknown.
   std::uint32_t startedSince = 0; ///< Attempts started since the last demand message.
   std::uint32_t inFlight = 0;     ///< Attempts that have not ended yet.
@@ -85,7 +83,7 @@
   Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
   std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
   bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
-  std::optional<TimePoint> holderUnansweredSince; ///< First request that `holder` has not answered.
+  std::optional<TimePoint> holderUnansweredSince; ///< First request unanswered by `holder`.
   std::optional<TimePoint> demandUnansweredSince; ///< First demand that no daemon has answered.
   std::optional<TimePoint> lastWaitingDemandAt;   ///< Last demand sent for waiting requests.
   bool isUnreachable = false; ///< Requests were refused because no daemon answered.
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -83,8 +83,8 @@
   aTarget.isDemandUnanswered = !aTarget.queue.empty();
   if (aTarget.isDemandUnanswered) {
     // Time during which no demand was sent does not count as time without an answer. If requests
-    // were already refused because no daemon answered, only the last `pause` of the limit is waited
-    // again.
+    // were already refused because no daemon answered, the next ones wait for `pause` instead of
+    // the whole limit.
     const Duration pause = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
     const bool hasPaused =
       !contact.lastWaitingDemandAt || aContext.now() - *contact.lastWaitingDemandAt > pause;
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -286,13 +286,13 @@
 
 bool View::IsConfirmedByMajority(const Context& aContext) const
 {
-  std::size_t isListed = 0;
+  std::size_t listed = 0;
   std::size_t confirmed = 0;
   for (const auto& [id, member] : mMembers) {
     if (!member.isListed) {
       continue;
     }
-    ++isListed;
+    ++listed;
     const bool isCurrent =
       member.versionConfirmedAt != TimePoint{} &&
       aContext.now() - member.versionConfirmedAt <= aContext.settings().freshnessLimit;
@@ -301,7 +301,7 @@
     }
   }
   // Both counts include this daemon.
-  return isListed > 0 && 2 * (confirmed + 1) > isListed + 1;
+  return listed > 0 && 2 * (confirmed + 1) > listed + 1;
 }
 
 bool View::IsFresh(const Context& aContext) const
--- a/src/decision/view/view_base.h
+++ b/src/decision/view/view_base.h
@@ -130,8 +130,8 @@
   Readiness mReadiness = Readiness::kStarting;
   bool mHasHostList = false;    ///< A host list has arrived.
   TimePoint mFirstHostListAt{}; ///< Arrival time of the first one.
-  std::optional<TimePoint>
-    mTableConfirmedAt; ///< Start of the last read that showed no newer version.
+  /* Start of the last table read that showed no newer version. */
+  std::optional<TimePoint> mTableConfirmedAt;
   TimePoint mNextPollAt{};
   ChangeId mPollRead; ///< The table read in flight, or empty.
   TimePoint mPollStartedAt{};
