--- a/src/decision/router/claim_base.h
+++ b/src/decision/router/claim_base.h
@@ -92,8 +92,8 @@
     bool isInBatch = false;     ///< Part of the transaction in flight.
     bool isResultDue = true;    ///< The caller still expects a result.
     bool isProvisional = false; ///< The recorded end is not final.
-    bool mayTakeEffectLate =
-      false; ///< An earlier write with an unknown outcome may take effect late.
+    /* The outcome of an earlier write is unknown, so it may still take effect. */
+    bool mayTakeEffectLate = false;
     TimePoint requestedAt{};
   };
 
@@ -102,6 +102,7 @@
   void SendBatch(Context& aContext);
   /* Compares an entry with the row that the table returned, and decides on its next write. */
   void ApplyRow(const RequestId& aRequest, const Row& aRow, std::vector<ClaimResult>& aResults);
+  /* Does so for an entry whose insertion is not confirmed yet. aRow is null if there is no row. */
   void ApplyInsertedRow(const RequestId& aRequest,
                         Entry& aEntry,
                         const ClaimRow* aRow,
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -83,9 +83,9 @@
   Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
   std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
   bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
-  std::optional<TimePoint> holderUnansweredSince; ///< First request unanswered by `holder`.
-  std::optional<TimePoint> demandUnansweredSince; ///< First demand that no daemon has answered.
-  std::optional<TimePoint> lastWaitingDemandAt;   ///< Last demand sent for waiting requests.
+  std::optional<TimePoint> holderUnansweredSince; ///< Time of its first unanswered request.
+  std::optional<TimePoint> demandUnansweredSince; ///< Time of the first demand nobody answered.
+  std::optional<TimePoint> lastWaitingDemandAt;   ///< Time of the last demand for waiting requests.
   bool isUnreachable = false; ///< Requests were refused because no daemon answered.
 };
 
@@ -144,9 +144,11 @@
 private:
   using TargetKey = std::pair<ServiceId, Artifact>;
 
+  /* Returns the code with which the request is refused on arrival, or nothing. */
   std::optional<ResultCode> CheckAdmission(const Context& aContext,
                                            const View& aView,
                                            const RequestArrived& aArrived) const;
+  /* Queues the request, or refuses it if EstimateTime() exceeds the time to its deadline. */
   void Admit(Context& aContext, View& aView, Request& aRequest);
   /* Estimates the time until the request is answered. Returns 0 if nothing is known of its target
    * or a slot is free, and only the time until a replica is ready if no replica is known. */
@@ -155,12 +157,16 @@
    * of aCustomer can be admitted. Returns false if that customer has at most one more of them than
    * aCustomer, or if none of its requests is queued. */
   bool FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer);
+  /* Answers with a refusal. Adds a retry-after time if the same request may succeed later. */
   static void Refuse(Context& aContext,
                      const RequestId& aRequest,
                      ResultCode aCode,
                      Duration aRetryAfter = {});
   void Enqueue(Context& aContext, View& aView, Request& aRequest);
+  /* Starts waiting requests while endpoints are free. Sends a demand for those that remain, unless
+   * the service is plain. */
   void DispatchTarget(Context& aContext, View& aView, Target& aTarget);
+  /* Dispatches the targets that the endpoint serves, after it has become free. */
   void DispatchEndpoint(Context& aContext, View& aView, const EndpointId& aEndpoint);
   std::optional<EndpointId> ChooseEndpoint(const Context& aContext,
                                            const View& aView,
@@ -176,9 +182,14 @@
                         Target& aTarget,
                         Request& aRequest,
                         const EndpointId& aEndpoint);
+  /* Sends a demand to the holder, or sets a timer if nextDemandAt is later. Refuses the waiting
+   * requests if no daemon has answered for too long. */
   void SendDemand(Context& aContext, View& aView, Target& aTarget);
+  /* Returns the daemon to send the next request for the cell to. Moves on to the next daemon in
+   * rank if the current one has not answered. */
   DaemonId ChooseHolder(Context& aContext, const View& aView, const ServiceId& aService);
   void Send(Context& aContext, const View& aView, const DaemonId& aTo, Message aMessage) const;
+  /* Follows the hint of a daemon that does not hold the cell. */
   void OnNotHolder(Context& aContext,
                    View& aView,
                    Target& aTarget,
@@ -199,6 +210,7 @@
   std::size_t CountInFlight(const EndpointId& aEndpoint) const;
   /* Erases targets, backoffs and contacts that are no longer in use. */
   void EraseUnused(Context& aContext, View& aView);
+  /* Sets the replicas of a plain service to its usable endpoints. */
   void RefreshPlainReplicas(const Context& aContext, const View& aView, Target& aTarget) const;
 
   void OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
@@ -208,7 +220,11 @@
    * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
+  /* Returns whether a suspect in flight runs alone, so that a crash is certainly its doing. On a
+   * plain service this covers the requests of this daemon only. */
   bool IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const;
+  /* Returns whether the request's fingerprint is a suspect or quarantined, and its endpoints are
+   * runners. */
   bool MustIsolate(const Context& aContext, const Request& aRequest) const;
   void Isolate(Context& aContext, View& aView, Request& aRequest);
   void RequestIsolation(Context& aContext, View& aView, Request& aRequest);
@@ -224,8 +240,11 @@
   static ResultCode FailureCode(const Request& aRequest, ResultCode aNotRun);
   void Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter = {});
   void Erase(const RequestId& aRequest);
+  /* Removes the request from the deadlines, from its customer's count and from the queue or the
+   * isolated requests if it waits there. Does nothing if it is abandoned, as Abandon() did so. */
   void RemoveFromQueues(Request& aRequest);
   void RemoveReplica(const EndpointId& aEndpoint, const ModelId& aModel);
+  /* Confirms pending drains of the endpoint's models that have no attempt in flight there. */
   void ReportDrained(Context& aContext, View& aView, const EndpointId& aEndpoint);
   void ExpireDeadlines(Context& aContext);
   void ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult);
@@ -237,7 +256,7 @@
   std::map<EndpointId, EndpointUse> mEndpoints;
   std::map<ServiceId, HolderContact> mHolders;
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
-  std::map<CustomerId, std::uint32_t> mQueuedByCustomer;
+  std::map<CustomerId, std::uint32_t> mQueuedByCustomer; ///< Unanswered requests of each customer.
   FairClock mFairClock;
   ClaimWriter mClaims;
   FingerprintSets mFingerprints;
