--- a/src/decision/router/router.cpp
+++ b/src/decision/router/router.cpp
@@ -55,8 +55,8 @@
       continue;
     }
     const bool isUnused =
-      IsPlainService(target.artifact) ||
-      (target.replicasValidUntil <= aContext.now() && !IsHolderSilent(aContext, target.service));
+      IsPlainService(target.artifact) || (target.replicasValidUntil <= aContext.now() &&
+                                          !IsHolderUnresponsive(aContext, target.service));
     item = isUnused ? mTargets.erase(item) : std::next(item);
   }
   for (auto& [id, use] : mEndpoints) {
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -30,9 +30,9 @@
   if (requestClass->second.repeatability == Repeatability::kAtMostOnce && aArrived.key.empty()) {
     return ResultCode::kIdempotencyKeyRequired;
   }
-  const auto queued = mQueuedByCustomer.find(aArrived.customer);
+  const auto queued = mUnansweredByCustomer.find(aArrived.customer);
   const bool isCustomerFull =
-    queued != mQueuedByCustomer.end() && queued->second >= customer->second.queueLimit;
+    queued != mUnansweredByCustomer.end() && queued->second >= customer->second.queueLimit;
   if (isCustomerFull) {
     return ResultCode::kQueueFull;
   }
@@ -68,7 +68,7 @@
   }
   mDeadlines.emplace(request.deadline, aArrived.request);
   aContext.WakeBy(request.deadline);
-  ++mQueuedByCustomer[aArrived.customer];
+  ++mUnansweredByCustomer[aArrived.customer];
   Request& stored = mRequests[aArrived.request] = std::move(request);
 
   const bool needsClaim = stored.repeatability == Repeatability::kAtMostOnce;
@@ -123,12 +123,12 @@
 bool Router::FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer)
 {
   const auto largest = std::max_element(
-    mQueuedByCustomer.begin(), mQueuedByCustomer.end(), [](const auto& aLeft, const auto& aRight) {
-      return aLeft.second < aRight.second;
-    });
-  const auto own = mQueuedByCustomer.find(aCustomer);
-  const std::uint32_t ownCount = own == mQueuedByCustomer.end() ? 0 : own->second;
-  if (largest == mQueuedByCustomer.end() || largest->second <= ownCount + 1) {
+    mUnansweredByCustomer.begin(),
+    mUnansweredByCustomer.end(),
+    [](const auto& aLeft, const auto& aRight) { return aLeft.second < aRight.second; });
+  const auto own = mUnansweredByCustomer.find(aCustomer);
+  const std::uint32_t ownCount = own == mUnansweredByCustomer.end() ? 0 : own->second;
+  if (largest == mUnansweredByCustomer.end() || largest->second <= ownCount + 1) {
     return false;
   }
   const CustomerId customer = largest->first;
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -201,7 +201,7 @@
                      Duration aRetryAfter,
                      TimePoint aDueBefore);
   /* Returns whether demands to the service's cell have gone unanswered for a whole lease length. */
-  bool IsHolderSilent(const Context& aContext, const ServiceId& aService) const;
+  bool IsHolderUnresponsive(const Context& aContext, const ServiceId& aService) const;
   /* Returns whether the target's known replicas are current enough for the request. */
   bool MayUseReplicas(const Context& aContext,
                       const Target& aTarget,
@@ -256,7 +256,8 @@
   std::map<EndpointId, EndpointUse> mEndpoints;
   std::map<ServiceId, HolderContact> mHolders;
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
-  std::map<CustomerId, std::uint32_t> mQueuedByCustomer; ///< Unanswered requests of each customer.
+  std::map<CustomerId, std::uint32_t>
+    mUnansweredByCustomer; ///< Unanswered requests of each customer.
   FairClock mFairClock;
   ClaimWriter mClaims;
   FingerprintSets mFingerprints;
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-bool Router::IsHolderSilent(const Context& aContext, const ServiceId& aService) const
+bool Router::IsHolderUnresponsive(const Context& aContext, const ServiceId& aService) const
 {
   const auto contact = mHolders.find(aService);
   return contact != mHolders.end() && contact->second.demandUnansweredSince &&
@@ -29,7 +29,7 @@
   // While no holder answers, an expired location is still used for idempotent requests, because
   // they can be repeated if the replica no longer exists.
   return aRequest.repeatability == Repeatability::kIdempotent &&
-         IsHolderSilent(aContext, aTarget.service);
+         IsHolderUnresponsive(aContext, aTarget.service);
 }
 
 DaemonId Router::ChooseHolder(Context& aContext, const View& aView, const ServiceId& aService)
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -247,9 +247,9 @@
     mIsolatedRequests.erase(aRequest.arrived.request);
   }
   mDeadlines.erase({ aRequest.deadline, aRequest.arrived.request });
-  const auto queued = mQueuedByCustomer.find(aRequest.arrived.customer);
+  const auto queued = mUnansweredByCustomer.find(aRequest.arrived.customer);
   if (--queued->second == 0) {
-    mQueuedByCustomer.erase(queued);
+    mUnansweredByCustomer.erase(queued);
   }
 }
 
