--- a/src/decision/router/quarantine.cpp
+++ b/src/decision/router/quarantine.cpp
@@ -1,29 +1,30 @@
-/* Bounded memory of suspicious requests. */
+/* Size limit and expiry of the sets of fingerprints. */
 #include "decision/router/quarantine_base.h"
 
 namespace rhubarbtrail {
 
 namespace {
 
-/* Fingerprints kept at most; beyond that, expired ones go, then no more are taken. */
+/* Most fingerprints in a set. At the limit expired ones are erased. If none is, new ones are
+ * ignored. */
 constexpr std::size_t kFingerprintLimit = 16'384;
 
 } // namespace
 
 void FingerprintSet::Add(const FingerprintId& aFingerprint, TimePoint aUntil, TimePoint aNow)
 {
-  if (mUntil.size() >= kFingerprintLimit) {
-    std::erase_if(mUntil, [aNow](const auto& aItem) { return aItem.second <= aNow; });
+  if (mExpiries.size() >= kFingerprintLimit) {
+    std::erase_if(mExpiries, [aNow](const auto& aItem) { return aItem.second <= aNow; });
   }
-  if (mUntil.size() < kFingerprintLimit) {
-    mUntil[aFingerprint] = aUntil;
+  if (mExpiries.size() < kFingerprintLimit) {
+    mExpiries[aFingerprint] = aUntil;
   }
 }
 
 bool FingerprintSet::Contains(const FingerprintId& aFingerprint, TimePoint aNow) const
 {
-  const auto found = mUntil.find(aFingerprint);
-  return found != mUntil.end() && found->second > aNow;
+  const auto found = mExpiries.find(aFingerprint);
+  return found != mExpiries.end() && found->second > aNow;
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/router/quarantine_base.h
+++ b/src/decision/router/quarantine_base.h
@@ -1,4 +1,4 @@
-/* Suspicion and conviction of requests that crash endpoints. */
+/* Fingerprints of requests that are suspected of crashing endpoints or quarantined for it. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_QUARANTINE_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_QUARANTINE_BASE_H
 
@@ -9,25 +9,26 @@
 
 namespace rhubarbtrail {
 
-/* Remembers fingerprints for a time, within a bound. */
+/* A set of fingerprints with expiry times and a limited size. */
 class FingerprintSet
 {
 public:
   void Add(const FingerprintId& aFingerprint, TimePoint aUntil, TimePoint aNow);
-  void Remove(const FingerprintId& aFingerprint) { mUntil.erase(aFingerprint); }
+  void Remove(const FingerprintId& aFingerprint) { mExpiries.erase(aFingerprint); }
   bool Contains(const FingerprintId& aFingerprint, TimePoint aNow) const;
-  std::size_t size() const { return mUntil.size(); }
-  const std::unordered_map<FingerprintId, TimePoint>& entries() const { return mUntil; }
+  std::size_t size() const { return mExpiries.size(); }
+  const std::unordered_map<FingerprintId, TimePoint>& entries() const { return mExpiries; }
 
 private:
-  std::unordered_map<FingerprintId, TimePoint> mUntil;
+  std::unordered_map<FingerprintId, TimePoint> mExpiries;
 };
 
-/* Suspects run alone; those that crash an endpoint while alone are convicted. */
-struct Quarantine
+/* Suspects run isolated. A suspect that crashes an endpoint while it runs isolated is quarantined:
+ * requests with its fingerprint are refused. */
+struct FingerprintSets
 {
   FingerprintSet suspects;
-  FingerprintSet convicted;
+  FingerprintSet quarantined;
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/retry_budget.cpp
+++ b/src/decision/router/retry_budget.cpp
@@ -1,4 +1,4 @@
-/* Retry budgets as token buckets that first attempts fill. */
+/* Retry budgets as token buckets that first attempts refill. */
 #include "decision/router/retry_budget_base.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* Buckets kept at most; beyond that, all start afresh. */
+/* Buckets above which all of them are erased and start full again. */
 constexpr std::size_t kBucketLimit = 65'536;
 
 std::string CustomerBucket(const CustomerId& aCustomer)
@@ -30,9 +30,9 @@
   return mBuckets.try_emplace(aName, aOptions.burst).first->second;
 }
 
-void RetryBudget::NoteFirstAttempt(const CustomerId& aCustomer,
-                                   const ServiceId& aService,
-                                   const RetryBudgetOptions& aOptions)
+void RetryBudget::RecordFirstAttempt(const CustomerId& aCustomer,
+                                     const ServiceId& aService,
+                                     const RetryBudgetOptions& aOptions)
 {
   for (const std::string& name : { CustomerBucket(aCustomer), ServiceBucket(aService) }) {
     double& bucket = Bucket(name, aOptions);
--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -1,4 +1,4 @@
-/* Which requests are taken, and how they enter the queue. */
+/* Admission of requests: checks on arrival, deadline estimates and queueing. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
                                                  const RequestArrived& aArrived) const
 {
   if (aView.readiness() == Readiness::kStopping && aContext.IsEnabled(Mechanism::kShutdownDrain)) {
-    // Requests on connections that were open already are still served.
+    // A stopping daemon still serves requests on connections that were already open.
   } else if (aView.readiness() != Readiness::kReady) {
     return ResultCode::kConfigurationStale;
   }
@@ -24,15 +24,15 @@
     return ResultCode::kRequestMalformed;
   }
   if (aContext.IsEnabled(Mechanism::kQuarantine) &&
-      mQuarantine.convicted.Contains(aArrived.fingerprint, aContext.now())) {
+      mFingerprints.quarantined.Contains(aArrived.fingerprint, aContext.now())) {
     return ResultCode::kQuarantined;
   }
   if (requestClass->second.repeatability == Repeatability::kAtMostOnce && aArrived.key.empty()) {
     return ResultCode::kIdempotencyKeyRequired;
   }
-  const auto queued = mQueuedByCustomer.find(aArrived.customer);
+  const auto queued = mUnansweredByCustomer.find(aArrived.customer);
   const bool isCustomerFull =
-    queued != mQueuedByCustomer.end() && queued->second >= customer->second.queueLimit;
+    queued != mUnansweredByCustomer.end() && queued->second >= customer->second.queueLimit;
   if (isCustomerFull) {
     return ResultCode::kQueueFull;
   }
@@ -55,27 +55,27 @@
   request.arrived = aArrived;
   request.repeatability = requestClass.repeatability;
   request.deadline = aContext.now() + timeLeft;
-  request.suspect = mQuarantine.suspects.Contains(aArrived.fingerprint, aContext.now());
+  request.isSuspect = mFingerprints.suspects.Contains(aArrived.fingerprint, aContext.now());
   request.queued = { .request = aArrived.request,
                      .customer = aArrived.customer,
                      .weight = customer.weight,
                      .priority = requestClass.priority,
                      .deadline = request.deadline };
   if (mRequests.size() >= aContext.settings().queueLimit &&
-      !MakeRoom(aContext, aArrived.customer)) {
+      !FreeQueueSlotFor(aContext, aArrived.customer)) {
     Refuse(aContext, aArrived.request, ResultCode::kQueueFull);
     return;
   }
   mDeadlines.emplace(request.deadline, aArrived.request);
   aContext.WakeBy(request.deadline);
-  ++mQueuedByCustomer[aArrived.customer];
+  ++mUnansweredByCustomer[aArrived.customer];
   Request& stored = mRequests[aArrived.request] = std::move(request);
 
   const bool needsClaim = stored.repeatability == Repeatability::kAtMostOnce;
   if (needsClaim && aContext.IsEnabled(Mechanism::kClaimBeforeSend)) {
     stored.state = RequestState::kClaiming;
-    if (const auto verdict = mClaims.Ask(aContext, aArrived)) {
-      Decide(aContext, aView, *verdict);
+    if (const auto claimResult = mClaims.RequestClaim(aContext, aArrived)) {
+      ApplyClaimResult(aContext, aView, *claimResult);
     }
     return;
   }
@@ -100,37 +100,40 @@
     return {};
   }
   const Target& target = found->second;
-  const bool isKnown = IsPlain(target.artifact) || target.knownUntil > aContext.now();
+  const bool isKnown =
+    IsPlainService(target.artifact) || target.replicasValidUntil > aContext.now();
   if (!isKnown || target.replicas.empty()) {
-    return std::max(Duration{}, target.readyAt - aContext.now());
+    return std::max(Duration{}, target.expectedReadyAt - aContext.now());
   }
   std::uint32_t slots = 0;
   for (const ReplicaLocation& replica : target.replicas) {
     slots += std::max(1U, replica.concurrency);
   }
   if (target.inFlight < slots) {
-    return {}; // It is tried, however long others took: that is how the mean stays current.
+    // With a free slot the request is started whatever the mean, because only completed attempts
+    // update the mean.
+    return {};
   }
-  // Slots that are taken free up one after the other, each after its share of the service time.
-  const double turns = (target.queue.CountAhead(aRequest.queued) + 1.0) / slots + 1.0;
+  // Occupied slots are assumed to free up one after another, evenly spread over the service time.
+  const double turns = (target.queue.EstimateAhead(aRequest.queued) + 1.0) / slots + 1.0;
   return Duration{ static_cast<std::int64_t>(turns *
                                              static_cast<double>(target.serviceTime.count())) };
 }
 
-bool Router::MakeRoom(Context& aContext, const CustomerId& aFor)
+bool Router::FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer)
 {
   const auto largest = std::max_element(
-    mQueuedByCustomer.begin(), mQueuedByCustomer.end(), [](const auto& aLeft, const auto& aRight) {
-      return aLeft.second < aRight.second;
-    });
-  const auto own = mQueuedByCustomer.find(aFor);
-  const std::uint32_t ownCount = own == mQueuedByCustomer.end() ? 0 : own->second;
-  if (largest == mQueuedByCustomer.end() || largest->second <= ownCount + 1) {
+    mUnansweredByCustomer.begin(),
+    mUnansweredByCustomer.end(),
+    [](const auto& aLeft, const auto& aRight) { return aLeft.second < aRight.second; });
+  const auto own = mUnansweredByCustomer.find(aCustomer);
+  const std::uint32_t ownCount = own == mUnansweredByCustomer.end() ? 0 : own->second;
+  if (largest == mUnansweredByCustomer.end() || largest->second <= ownCount + 1) {
     return false;
   }
   const CustomerId customer = largest->first;
   for (auto& [key, target] : mTargets) {
-    if (const auto last = target.queue.LastOf(customer)) {
+    if (const auto last = target.queue.LastRequestOf(customer)) {
       Request& request = mRequests.at(*last);
       Finish(aContext, request, FailureCode(request, ResultCode::kQueueFull));
       return true;
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -1,4 +1,4 @@
-/* The router: takes a request from arrival to its one final answer. */
+/* The router admits, queues, dispatches and retries requests. Each gets one final answer. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_ROUTER_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_ROUTER_BASE_H
 
@@ -18,11 +18,12 @@
 
 namespace rhubarbtrail {
 
-/* Time to come back after a refusal when nothing better is known. */
+/* Retry-after time that a refusal names when no better estimate exists. */
 constexpr Duration kDefaultRetryAfter = 1s;
 
-/* Returns whether the artifact is empty: the calls of a plain service. */
-inline bool IsPlain(const Artifact& aArtifact)
+/* Returns whether the artifact names no model. Requests to a plain service, whose endpoints load no
+ * models, have such an artifact. */
+inline bool IsPlainService(const Artifact& aArtifact)
 {
   return aArtifact.model.empty();
 }
@@ -31,12 +32,12 @@
 {
   kClaiming,
   kQueued,
-  kIsolating, ///< A suspect that waits for a runner of its own.
+  kIsolating, ///< A suspect that waits until the holder reserves a runner for it.
   kInFlight,
-  kAbandoned, ///< The caller has its last word or has gone; the attempt has not ended yet.
+  kAbandoned, ///< Answered or cancelled, but its attempt has not ended yet.
 };
 
-/* One request between arrival and final answer. */
+/* One request from its arrival until its final answer or the end of its attempt, if later. */
 struct Request
 {
   RequestArrived arrived;
@@ -45,66 +46,71 @@
   RequestState state = RequestState::kQueued;
   TimePoint deadline{};
   AttemptNumber attempt;
-  EndpointId endpoint; ///< Of the attempt in flight.
+  EndpointId endpoint; ///< Endpoint of the attempt in flight, else empty.
   TimePoint startedAt{};
-  std::set<EndpointId> failed;
-  std::uint32_t sentAttempts = 0;    ///< Attempts that may have run.
-  std::uint32_t refusedAttempts = 0; ///< Attempts that certainly did not run.
-  std::uint32_t delivered = 0;       ///< Stream events that the caller has.
+  std::set<EndpointId> failedEndpoints; ///< Endpoints that may have run an attempt of this request.
+  std::uint32_t sentAttempts = 0;       ///< Attempts that may have run.
+  std::uint32_t refusedAttempts = 0;    ///< Attempts that are known not to have run.
+  std::uint32_t delivered = 0;          ///< Stream events already delivered to the caller.
   bool mayHaveRun = false;
-  bool suspect = false;
-  std::uint64_t isolationAsk = 0; ///< Of the last request for a runner of its own.
-  TimePoint isolationAskedAt{};
-  DaemonId isolatedBy;    ///< The holder that keeps the runner free for this attempt.
-  TimePoint aloneUntil{}; ///< The runner is kept free until then.
+  bool isSuspect = false; ///< A request with its fingerprint was on an endpoint that crashed.
+  std::uint64_t isolationRequestNumber = 0; ///< Number of the last isolation request sent.
+  TimePoint isolationRequestedAt{};
+  DaemonId isolationHolder;  ///< Holder that reserves the runner for this attempt, else empty.
+  TimePoint reservedUntil{}; ///< End of the runner's reservation.
 };
 
-/* The router's knowledge of the replicas of one artifact. */
+/* The queue and the known replicas of one artifact or of one plain service. */
 struct Target
 {
   Artifact artifact;
   ServiceId service;
   FairQueue queue;
   std::vector<ReplicaLocation> replicas;
-  TimePoint knownUntil{};
-  TimePoint nextDemand{};
-  TimePoint readyAt{};    ///< When the holder expects a replica.
-  bool hasAsked = false;  ///< A demand for waiting requests is unanswered.
-  Duration serviceTime{}; ///< Exponentially weighted mean of completed attempts; 0 means unknown.
-  std::uint32_t startedSince = 0;
-  std::uint32_t inFlight = 0; ///< Attempts that have not ended yet.
+  TimePoint replicasValidUntil{};  ///< Until then the replicas may be used without another reply.
+  TimePoint nextDemandAt{};        ///< Earliest time of the next demand message.
+  TimePoint expectedReadyAt{};     ///< When the holder expects a replica to be ready.
+  bool isDemandUnanswered = false; ///< The last demand was for waiting requests, without an answer.
+  Duration serviceTime{}; ///< Exponentially weighted mean over completed attempts; 0 if unknown.
+  std::uint32_t startedSince = 0; ///< Attempts started since the last demand message.
+  std::uint32_t inFlight = 0;     ///< Attempts that have not ended yet.
 };
 
-/* Whom the router takes for the holder of a cell, and how long it has been silent. */
+/* The daemon that the router assumes to hold a cell, and the times of unanswered requests to it. */
 struct HolderContact
 {
-  DaemonId holder;                  ///< Who answered last, or was named as the holder.
-  Fence fence;                      ///< The newest holder's; answers of former ones are ignored.
-  std::uint32_t candidate = 0;      ///< Rank of the daemon that is being tried.
-  bool hasFollowed = false;         ///< This candidate's hint was followed.
-  std::optional<TimePoint> askedAt; ///< The first question it has not answered.
-  std::optional<TimePoint> silentSince; ///< The first demand that nobody has answered.
-  std::optional<TimePoint> wantedAt;    ///< The last demand for waiting requests.
-  bool isProvenSilent = false;          ///< Requests were refused because nobody answered.
+  DaemonId holder; ///< Daemon that requests go to: the last that answered, was named or was tried.
+  Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
+  std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
+  bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
+  std::optional<TimePoint> holderUnansweredSince; ///< Time of its first unanswered request.
+  std::optional<TimePoint> demandUnansweredSince; ///< Time of the first demand nobody answered.
+  std::optional<TimePoint> lastWaitingDemandAt;   ///< Time of the last demand for waiting requests.
+  bool isUnreachable = false; ///< Requests were refused because no daemon answered.
 };
 
-/* A pause after refused attempts; it grows with each refusal in a row. */
+/* A pause after an endpoint refused an attempt. It doubles with each refusal after a pause, up
+ * to a limit, and a completed attempt resets it. */
 struct Backoff
 {
   std::uint32_t refusals = 0;
   TimePoint until{};
 };
 
-/* What the router has under way at an endpoint; kept while there is anything. */
+/* Attempts in flight and backoffs of one endpoint, erased when there are none. */
 struct EndpointUse
 {
   std::set<RequestId> inFlight;
   std::map<ModelId, Backoff> backoffs;
 };
 
-/* State is bounded: requests and attempts by settings().queueLimit, targets and endpoints by what
- * these requests use or have used within settings().replicaLifetime, holders by the services,
- * claims and fingerprints by the limits of their classes. */
+/* Decides which requests are admitted, where and when they run, and how they are answered.
+ *
+ * All state is bounded. Requests and their attempts are limited by settings().queueLimit. Targets
+ * and endpoints exist only while such requests use them, for settings().replicaLifetime after that,
+ * and while the holder of the target's cell does not answer. Holder contacts exist for configured
+ * services only. Claims, fingerprints, virtual times and retry budgets have limits of their own,
+ * see their classes. */
 class Router
 {
 public:
@@ -130,7 +136,7 @@
   void OnWake(Context& aContext, View& aView);
   void OnViewChanged(Context& aContext, View& aView);
 
-  /* Returns whether nothing is left to finish. */
+  /* Returns whether no request is left and the claims allow shutdown. */
   bool IsIdle() const { return mRequests.empty() && mClaims.IsIdle(); }
 
   void Dump(std::vector<DumpEntry>& aOut, TimePoint aNow) const;
@@ -138,37 +144,52 @@
 private:
   using TargetKey = std::pair<ServiceId, Artifact>;
 
+  /* Returns the code with which the request is refused on arrival, or nothing. */
   std::optional<ResultCode> CheckAdmission(const Context& aContext,
                                            const View& aView,
                                            const RequestArrived& aArrived) const;
+  /* Queues the request, or refuses it if EstimateTime() exceeds the time to its deadline. */
   void Admit(Context& aContext, View& aView, Request& aRequest);
-  /* Returns the time until the request's answer as far as it is queued for; 0 when it starts at
-   * once. */
+  /* Estimates the time until the request is answered. Returns 0 if nothing is known of its target
+   * or a slot is free, and only the time until a replica is ready if no replica is known. */
   Duration EstimateTime(const Context& aContext, const Request& aRequest) const;
-  bool MakeRoom(Context& aContext, const CustomerId& aFor);
+  /* Refuses one queued request of the customer with the most unanswered requests, so that a request
+   * of aCustomer can be admitted. Returns false if that customer has at most one more of them than
+   * aCustomer, or if none of its requests is queued. */
+  bool FreeQueueSlotFor(Context& aContext, const CustomerId& aCustomer);
+  /* Answers with a refusal. Adds a retry-after time if the same request may succeed later. */
   static void Refuse(Context& aContext,
                      const RequestId& aRequest,
                      ResultCode aCode,
                      Duration aRetryAfter = {});
   void Enqueue(Context& aContext, View& aView, Request& aRequest);
+  /* Starts waiting requests while endpoints are free. Sends a demand for those that remain, unless
+   * the service is plain. */
   void DispatchTarget(Context& aContext, View& aView, Target& aTarget);
+  /* Dispatches the targets that the endpoint serves, after it has become free. */
   void DispatchEndpoint(Context& aContext, View& aView, const EndpointId& aEndpoint);
   std::optional<EndpointId> ChooseEndpoint(const Context& aContext,
                                            const View& aView,
                                            const Target& aTarget,
                                            const Request& aRequest) const;
-  bool HasRoom(const Context& aContext,
-               const View& aView,
-               const Target& aTarget,
-               const ReplicaLocation& aReplica) const;
-  void Start(Context& aContext,
-             View& aView,
-             Target& aTarget,
-             Request& aRequest,
-             const EndpointId& aEndpoint);
-  void Demand(Context& aContext, View& aView, Target& aTarget);
+  /* Returns whether the replica can take one more request of this daemon now. */
+  bool CanAcceptRequest(const Context& aContext,
+                        const View& aView,
+                        const Target& aTarget,
+                        const ReplicaLocation& aReplica) const;
+  void StartNextAttempt(Context& aContext,
+                        View& aView,
+                        Target& aTarget,
+                        Request& aRequest,
+                        const EndpointId& aEndpoint);
+  /* Sends a demand to the holder, or sets a timer if nextDemandAt is later. Refuses the waiting
+   * requests if no daemon has answered for too long. */
+  void SendDemand(Context& aContext, View& aView, Target& aTarget);
+  /* Returns the daemon to send the next request for the cell to. Moves on to the next daemon in
+   * rank if the current one has not answered. */
   DaemonId ChooseHolder(Context& aContext, const View& aView, const ServiceId& aService);
   void Send(Context& aContext, const View& aView, const DaemonId& aTo, Message aMessage) const;
+  /* Follows the hint of a daemon that does not hold the cell. */
   void OnNotHolder(Context& aContext,
                    View& aView,
                    Target& aTarget,
@@ -179,36 +200,54 @@
                      ResultCode aCode,
                      Duration aRetryAfter,
                      TimePoint aDueBefore);
-  bool IsSilent(const Context& aContext, const ServiceId& aService) const;
-  bool MayUse(const Context& aContext, const Target& aTarget, const Request& aRequest) const;
-  void ReleaseUse(Request& aRequest);
-  std::size_t InFlight(const EndpointId& aEndpoint) const;
-  void Tidy(Context& aContext, View& aView);
+  /* Returns whether demands to the service's cell have gone unanswered for a whole lease length. */
+  bool IsHolderUnresponsive(const Context& aContext, const ServiceId& aService) const;
+  /* Returns whether the target's known replicas are current enough for the request. */
+  bool MayUseReplicas(const Context& aContext,
+                      const Target& aTarget,
+                      const Request& aRequest) const;
+  void ReleaseEndpoint(Request& aRequest);
+  std::size_t CountInFlight(const EndpointId& aEndpoint) const;
+  /* Erases targets, backoffs and contacts that are no longer in use. */
+  void EraseUnused(Context& aContext, View& aView);
+  /* Sets the replicas of a plain service to its usable endpoints. */
   void RefreshPlainReplicas(const Context& aContext, const View& aView, Target& aTarget) const;
 
   void OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
   void OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
-  void NoteOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
+  void RecordOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
+  /* Marks an answered or cancelled request as abandoned while its attempt is in flight. The attempt
+   * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
-  bool IsAloneSuspect(const Context& aContext, const Request& aRequest) const;
+  /* Returns whether a suspect in flight runs alone, so that a crash is certainly its doing. On a
+   * plain service this covers the requests of this daemon only. */
+  bool IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const;
+  /* Returns whether the request's fingerprint is a suspect or quarantined, and its endpoints are
+   * runners. */
   bool MustIsolate(const Context& aContext, const Request& aRequest) const;
   void Isolate(Context& aContext, View& aView, Request& aRequest);
-  void AskIsolation(Context& aContext, View& aView, Request& aRequest);
+  void RequestIsolation(Context& aContext, View& aView, Request& aRequest);
   void EndIsolation(Context& aContext, View& aView, Request& aRequest);
-  void ServeIsolated(Context& aContext, View& aView);
-  void Clear(Context& aContext, View& aView, const FingerprintId& aFingerprint);
+  /* Repeats isolation requests, queues requests that are no longer suspects, and abandons attempts
+   * whose reservation has ended. */
+  void UpdateIsolatedRequests(Context& aContext, View& aView);
+  void ClearSuspect(Context& aContext, View& aView, const FingerprintId& aFingerprint);
   void Broadcast(Context& aContext, const View& aView, const Message& aMessage) const;
-  bool Convict(Context& aContext, View& aView, const Request& aRequest);
+  /* Quarantines the request's fingerprint on all daemons. Returns false if that is disabled. */
+  bool QuarantineFingerprint(Context& aContext, View& aView, const Request& aRequest);
   void Retry(Context& aContext, View& aView, Request& aRequest);
   static ResultCode FailureCode(const Request& aRequest, ResultCode aNotRun);
   void Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter = {});
   void Erase(const RequestId& aRequest);
-  void LeaveQueue(Request& aRequest);
-  void ForgetReplica(const EndpointId& aEndpoint, const ModelId& aModel);
+  /* Removes the request from the deadlines, from its customer's count and from the queue or the
+   * isolated requests if it waits there. Does nothing if it is abandoned, as Abandon() did so. */
+  void RemoveFromQueues(Request& aRequest);
+  void RemoveReplica(const EndpointId& aEndpoint, const ModelId& aModel);
+  /* Confirms pending drains of the endpoint's models that have no attempt in flight there. */
   void ReportDrained(Context& aContext, View& aView, const EndpointId& aEndpoint);
   void ExpireDeadlines(Context& aContext);
-  void Decide(Context& aContext, View& aView, const ClaimVerdict& aVerdict);
+  void ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult);
   Target* FindTarget(const Request& aRequest);
 
   std::unordered_map<RequestId, Request> mRequests;
@@ -217,12 +256,13 @@
   std::map<EndpointId, EndpointUse> mEndpoints;
   std::map<ServiceId, HolderContact> mHolders;
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
-  std::map<CustomerId, std::uint32_t> mQueuedByCustomer;
-  FairClock mClock;
-  ClaimBook mClaims;
-  Quarantine mQuarantine;
-  std::set<RequestId> mIsolated; ///< Requests that have or wait for a runner of their own.
-  RetryBudget mBudget;
+  std::map<CustomerId, std::uint32_t>
+    mUnansweredByCustomer; ///< Unanswered requests of each customer.
+  FairClock mFairClock;
+  ClaimWriter mClaims;
+  FingerprintSets mFingerprints;
+  std::set<RequestId> mIsolatedRequests; ///< Requests that wait for a reserved runner or use one.
+  RetryBudget mRetryBudget;
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -1,4 +1,4 @@
-/* What follows from an attempt's outcome: the answer, a retry or a refusal. */
+/* Handles the end of an attempt and the result of a claim: answers, retries and refusals. */
 #include "decision/router/router_base.h"
 
 #include <algorithm>
@@ -7,16 +7,17 @@
 
 namespace {
 
-/* Attempts of one request that endpoints may refuse before it is refused itself. */
+/* Refused attempts after which the request itself is refused. */
 constexpr std::uint32_t kRefusedAttemptLimit = 16;
-/* Pause after the first refusal by an endpoint; it doubles with each one that follows. */
+/* Backoff after an endpoint's first refusal. Each further refusal doubles it. */
 constexpr Duration kFirstBackoff = 100ms;
+/* Limit of these doublings. */
 constexpr std::uint32_t kBackoffDoublings = 5;
-/* Completed attempts over which the mean of the service time reaches back. */
-constexpr int kServiceTimeSpan = 16;
+/* A completed attempt changes the mean service time by 1/kServiceTimeDivisor of the difference. */
+constexpr int kServiceTimeDivisor = 16;
 
-/* Returns whether the same request may be answered when it comes again later. */
-bool CanComeBack(ResultCode aCode)
+/* Returns whether the caller may get another answer by repeating the request later. */
+bool MayRetryLater(ResultCode aCode)
 {
   switch (aCode) {
     case ResultCode::kIdempotencyKeyInProgress:
@@ -31,20 +32,21 @@
   return info.execution == Execution::kNotRun && info.httpStatus >= kTooManyRequests;
 }
 
-bool IsOnce(const Request& aRequest)
+bool IsAtMostOnce(const Request& aRequest)
 {
   return aRequest.repeatability == Repeatability::kAtMostOnce;
 }
 
 } // namespace
 
-/* Returns the code for a request that can't be served any more: what may have run says so. */
+/* Returns the result code of a request that failed: aNotRun if no attempt can have run, else a code
+ * that says that it may have run. */
 ResultCode Router::FailureCode(const Request& aRequest, ResultCode aNotRun)
 {
   if (!aRequest.mayHaveRun) {
     return aNotRun;
   }
-  return IsOnce(aRequest) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
+  return IsAtMostOnce(aRequest) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
 }
 
 void Router::OnAttemptEnded(Context& aContext, View& aView, const AttemptEnded& aEnded)
@@ -56,17 +58,17 @@
   }
   Request& request = found->second;
   const EndpointId endpoint = request.endpoint;
-  const bool wasAlone = IsAloneSuspect(aContext, request);
+  const bool wasIsolated = IsIsolatedSuspect(aContext, request);
   request.delivered = std::max(request.delivered, aEnded.delivered);
-  NoteOutcome(aContext, aView, request, aEnded.outcome);
-  ReleaseUse(request);
+  RecordOutcome(aContext, aView, request, aEnded.outcome);
+  ReleaseEndpoint(request);
   EndIsolation(aContext, aView, request);
   if (request.state == RequestState::kAbandoned) {
     OnAbandonedEnded(aContext, request, aEnded);
   } else if (aEnded.outcome == AttemptOutcome::kCompleted) {
     OnCompleted(aContext, request, aEnded);
-  } else if (aEnded.outcome == AttemptOutcome::kCrashed && wasAlone &&
-             Convict(aContext, aView, request)) {
+  } else if (aEnded.outcome == AttemptOutcome::kCrashed && wasIsolated &&
+             QuarantineFingerprint(aContext, aView, request)) {
     Finish(aContext, request, ResultCode::kCrashedEndpoints);
   } else if (aEnded.outcome == AttemptOutcome::kRejected ||
              aEnded.outcome == AttemptOutcome::kCancelled) {
@@ -78,27 +80,30 @@
   DispatchEndpoint(aContext, aView, endpoint);
 }
 
-void Router::NoteOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome)
+void Router::RecordOutcome(Context& aContext,
+                           View& aView,
+                           Request& aRequest,
+                           AttemptOutcome aOutcome)
 {
   bool hasRefused = false;
   switch (aOutcome) {
     case AttemptOutcome::kNotConnected:
-      aView.NoteRefused(aContext, aRequest.endpoint);
+      aView.RecordRefusedConnection(aContext, aRequest.endpoint);
       hasRefused = true;
       break;
     case AttemptOutcome::kLeaving:
-      aView.NoteLeaving(aContext, aRequest.endpoint);
+      aView.RecordLeaving(aContext, aRequest.endpoint);
       hasRefused = true;
       break;
     case AttemptOutcome::kNotRun:
       if (Target* target = FindTarget(aRequest)) {
-        ForgetReplica(aRequest.endpoint, aRequest.arrived.artifact.model);
-        target->nextDemand = std::min(target->nextDemand, aContext.now());
+        RemoveReplica(aRequest.endpoint, aRequest.arrived.artifact.model);
+        target->nextDemandAt = std::min(target->nextDemandAt, aContext.now());
       }
       hasRefused = true;
       break;
     case AttemptOutcome::kCrashed:
-      aView.NoteRefused(aContext, aRequest.endpoint);
+      aView.RecordRefusedConnection(aContext, aRequest.endpoint);
       OnCrashed(aContext, aView, aRequest.endpoint);
       break;
     case AttemptOutcome::kCut:
@@ -112,15 +117,15 @@
   if (!hasRefused) {
     aRequest.mayHaveRun = true;
     ++aRequest.sentAttempts;
-    aRequest.failed.insert(aRequest.endpoint);
+    aRequest.failedEndpoints.insert(aRequest.endpoint);
     if (aOutcome == AttemptOutcome::kCompleted) {
       if (Target* target = FindTarget(aRequest)) {
         const Duration time = aContext.now() - aRequest.startedAt;
         const bool isFirst = target->serviceTime.count() == 0;
         target->serviceTime =
-          isFirst ? time : target->serviceTime + (time - target->serviceTime) / kServiceTimeSpan;
+          isFirst ? time : target->serviceTime + (time - target->serviceTime) / kServiceTimeDivisor;
       }
-      Clear(aContext, aView, aRequest.arrived.fingerprint);
+      ClearSuspect(aContext, aView, aRequest.arrived.fingerprint);
       mEndpoints[aRequest.endpoint].backoffs.erase(aRequest.arrived.artifact.model);
     }
     return;
@@ -137,7 +142,7 @@
 
 void Router::OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded)
 {
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     mClaims.Record(aContext, aEnded.request, ClaimState::kDone, ClaimEnd::kFinal, aEnded);
   }
   aContext.Emit(FinishRequest{ .request = aEnded.request, .code = ResultCode::kOk });
@@ -146,7 +151,7 @@
 
 void Router::OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded)
 {
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     if (aEnded.outcome == AttemptOutcome::kCompleted) {
       mClaims.Record(aContext, aEnded.request, ClaimState::kDone, ClaimEnd::kFinal, aEnded);
     } else if (aRequest.mayHaveRun) {
@@ -160,8 +165,8 @@
 
 void Router::Retry(Context& aContext, View& aView, Request& aRequest)
 {
-  const bool isFinal =
-    IsOnce(aRequest) && aRequest.mayHaveRun && aContext.IsEnabled(Mechanism::kFinalOutcomeUnknown);
+  const bool isFinal = IsAtMostOnce(aRequest) && aRequest.mayHaveRun &&
+                       aContext.IsEnabled(Mechanism::kFinalOutcomeUnknown);
   if (isFinal) {
     Finish(aContext, aRequest, ResultCode::kOutcomeUnknown);
     return;
@@ -178,12 +183,12 @@
   }
   const RetryBudgetOptions budget{ aContext.settings().retryBudgetRatio,
                                    aContext.settings().retryBudgetBurst };
-  // What an endpoint refused cost it nothing; the pauses between refusals bound such attempts.
-  // Suspects run one at a time in a cell, which bounds their retries.
-  const bool isFree = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
+  // A refused attempt costs the endpoint nothing, and the backoff bounds the number of such
+  // attempts. Suspects run one at a time in a cell, which bounds their retries.
+  const bool isExemptFromBudget = !aRequest.mayHaveRun || MustIsolate(aContext, aRequest);
   const bool isAllowed =
-    !aContext.IsEnabled(Mechanism::kRetryBudget) || isFree ||
-    mBudget.TakeRetry(aRequest.arrived.customer, aRequest.arrived.service, budget);
+    !aContext.IsEnabled(Mechanism::kRetryBudget) || isExemptFromBudget ||
+    mRetryBudget.TakeRetry(aRequest.arrived.customer, aRequest.arrived.service, budget);
   if (!isAllowed) {
     Finish(aContext, aRequest, ResultCode::kRetryBudgetSpent);
     return;
@@ -198,13 +203,13 @@
 {
   const Duration pause = aRetryAfter.count() > 0 ? aRetryAfter : kDefaultRetryAfter;
   aContext.Emit(FinishRequest{
-    .request = aRequest, .code = aCode, .retryAfter = CanComeBack(aCode) ? pause : Duration{} });
+    .request = aRequest, .code = aCode, .retryAfter = MayRetryLater(aCode) ? pause : Duration{} });
 }
 
 void Router::Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter)
 {
   Refuse(aContext, aRequest.arrived.request, aCode, aRetryAfter);
-  if (IsOnce(aRequest)) {
+  if (IsAtMostOnce(aRequest)) {
     if (aRequest.mayHaveRun) {
       mClaims.Record(
         aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kFinal, {});
@@ -217,17 +222,18 @@
 
 void Router::Abandon(Context& aContext, Request& aRequest)
 {
-  if (IsOnce(aRequest)) {
-    // It runs on, so that its answer can still be stored.
-    mClaims.Record(aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kOpen, {});
+  if (IsAtMostOnce(aRequest)) {
+    // The attempt is not stopped, so that its answer can still be stored.
+    mClaims.Record(
+      aContext, aRequest.arrived.request, ClaimState::kUnknown, ClaimEnd::kProvisional, {});
   } else {
     aContext.Emit(StopAttempt{ aRequest.arrived.request, aRequest.attempt });
   }
-  LeaveQueue(aRequest);
+  RemoveFromQueues(aRequest);
   aRequest.state = RequestState::kAbandoned;
 }
 
-void Router::LeaveQueue(Request& aRequest)
+void Router::RemoveFromQueues(Request& aRequest)
 {
   if (aRequest.state == RequestState::kAbandoned) {
     return;
@@ -238,12 +244,12 @@
     }
   }
   if (aRequest.state == RequestState::kIsolating) {
-    mIsolated.erase(aRequest.arrived.request);
+    mIsolatedRequests.erase(aRequest.arrived.request);
   }
   mDeadlines.erase({ aRequest.deadline, aRequest.arrived.request });
-  const auto queued = mQueuedByCustomer.find(aRequest.arrived.customer);
+  const auto queued = mUnansweredByCustomer.find(aRequest.arrived.customer);
   if (--queued->second == 0) {
-    mQueuedByCustomer.erase(queued);
+    mUnansweredByCustomer.erase(queued);
   }
 }
 
@@ -253,7 +259,7 @@
   if (found == mRequests.end()) {
     return;
   }
-  LeaveQueue(found->second);
+  RemoveFromQueues(found->second);
   mRequests.erase(found);
 }
 
@@ -271,7 +277,7 @@
       continue;
     }
     const ResultCode code =
-      IsOnce(request) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
+      IsAtMostOnce(request) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
     Refuse(aContext, id, code);
     Abandon(aContext, request);
   }
@@ -279,23 +285,23 @@
 
 void Router::OnTransactionResult(Context& aContext, View& aView, const TransactionResult& aResult)
 {
-  for (const ClaimVerdict& verdict : mClaims.OnResult(aContext, aResult)) {
-    Decide(aContext, aView, verdict);
+  for (const ClaimResult& claimResult : mClaims.OnResult(aContext, aResult)) {
+    ApplyClaimResult(aContext, aView, claimResult);
   }
-  for (const ClaimVerdict& verdict : mClaims.OnWake(aContext)) {
-    Decide(aContext, aView, verdict);
+  for (const ClaimResult& claimResult : mClaims.OnWake(aContext)) {
+    ApplyClaimResult(aContext, aView, claimResult);
   }
 }
 
-void Router::Decide(Context& aContext, View& aView, const ClaimVerdict& aVerdict)
+void Router::ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult)
 {
-  const auto found = mRequests.find(aVerdict.request);
+  const auto found = mRequests.find(aClaimResult.request);
   if (found == mRequests.end()) {
-    mClaims.Release(aContext, aVerdict.request);
+    mClaims.Release(aContext, aClaimResult.request);
     return;
   }
   Request& request = found->second;
-  switch (aVerdict.outcome) {
+  switch (aClaimResult.outcome) {
     case ClaimOutcome::kGranted:
       Admit(aContext, aView, request);
       break;
@@ -305,18 +311,18 @@
     case ClaimOutcome::kHeld:
       Finish(aContext,
              request,
-             aVerdict.row.owner != aContext.self() &&
-                 aView.IsProvenDead(aContext, aVerdict.row.owner)
+             aClaimResult.row.owner != aContext.self() &&
+                 aView.IsProvenDead(aContext, aClaimResult.row.owner)
                ? ResultCode::kEarlierOutcomeUnknown
                : ResultCode::kIdempotencyKeyInProgress);
       break;
     case ClaimOutcome::kDone:
-      aContext.Emit(FinishRequest{ .request = aVerdict.request,
+      aContext.Emit(FinishRequest{ .request = aClaimResult.request,
                                    .code = ResultCode::kOk,
-                                   .httpStatus = aVerdict.row.httpStatus,
-                                   .contentType = aVerdict.row.contentType,
-                                   .storedAnswer = aVerdict.row.answer });
-      Erase(aVerdict.request);
+                                   .httpStatus = aClaimResult.row.httpStatus,
+                                   .contentType = aClaimResult.row.contentType,
+                                   .storedAnswer = aClaimResult.row.answer });
+      Erase(aClaimResult.request);
       break;
     case ClaimOutcome::kUnknown:
       Finish(aContext, request, ResultCode::kEarlierOutcomeUnknown);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,5 @@
-/* A request that crashes runners is convicted after two crashes; the others in its batch are not.
- */
+/* A request that crashes runners is quarantined after two crashes. Other requests that were in
+ * flight on the same runners are not. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -9,10 +9,10 @@
 
 namespace {
 
-/* Runners that crash when they run the fingerprint "killer", with everything in flight there. */
-struct Crashing
+/* Runners that crash when they run one of `killers`. All requests in flight there fail, too. */
+struct CrashingRunners
 {
-  explicit Crashing(World& aWorld)
+  explicit CrashingRunners(World& aWorld)
     : world(aWorld)
   {
     world.serve = [this](const Started& aStarted) { return Serve(aStarted); };
@@ -27,7 +27,7 @@
     Duration time = 300ms;
     if (isKiller) {
       ++crashes;
-      largest = std::max(largest, batch.size());
+      largestSharedBatch = std::max(largestSharedBatch, batch.size());
       for (const auto& [started, end] : batch) {
         world.Post(started.daemon,
                    50ms,
@@ -46,7 +46,7 @@
   std::set<RequestId> killers;
   std::map<EndpointId, std::vector<std::pair<Started, TimePoint>>> running;
   int crashes = 0;
-  std::size_t largest = 0;
+  std::size_t largestSharedBatch = 0;
 };
 
 } // namespace
@@ -57,20 +57,20 @@
     for (const std::size_t killerAt : { 0, 2 }) {
       INFO(daemons, " daemons, killer at ", killerAt);
       World world({ .daemons = daemons, .runners = 3 });
-      Crashing crashing(world);
+      CrashingRunners crashing(world);
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        world.Ask({}, daemon); // Loads the model and tells each daemon of it.
+        world.SendRequest({}, daemon); // Loads the model and tells each daemon of it.
       }
       world.Run(2s);
       std::vector<RequestId> innocents;
       for (std::size_t index = 0; index < 6; ++index) {
-        innocents.push_back(world.Ask({}, index % daemons));
+        innocents.push_back(world.SendRequest({}, index % daemons));
       }
       world.Run(50ms);
       const std::size_t at = killerAt % daemons;
       RequestArrived killer{ .fingerprint = FingerprintId{ "killer" } };
       crashing.killers.insert(RequestId{ "r" + std::to_string(daemons + 7) });
-      const RequestId first = world.Ask(killer, at);
+      const RequestId first = world.SendRequest(killer, at);
       REQUIRE(crashing.killers.contains(first));
       world.Run(25s);
       CHECK(world.CodeOf(first) == 5103);
@@ -79,11 +79,11 @@
         CHECK(world.CodeOf(innocent) == 1000);
       }
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        const RequestId again = world.Ask(killer, daemon);
+        const RequestId again = world.SendRequest(killer, daemon);
         CHECK(world.CodeOf(again) == 5101);
         CHECK(world.DumpOf("router.suspects", daemon) == "0");
       }
-      const RequestId after = world.Ask({}, 0);
+      const RequestId after = world.SendRequest({}, 0);
       world.Run(5s);
       CHECK(world.CodeOf(after) == 1000);
     }
@@ -93,21 +93,21 @@
 TEST_CASE("nobody else uses the runner of an isolated suspect")
 {
   World world({ .daemons = 3 });
-  Crashing crashing(world);
+  CrashingRunners crashing(world);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
-    world.Ask({}, daemon);
+    world.SendRequest({}, daemon);
   }
   world.Run(2s);
   crashing.killers.insert(RequestId{ "r4" });
-  const RequestId killer = world.Ask({ .fingerprint = FingerprintId{ "killer" } }, 1);
+  const RequestId killer = world.SendRequest({ .fingerprint = FingerprintId{ "killer" } }, 1);
   for (int index = 0; index < 100; ++index) {
     world.Run(100ms);
-    world.Ask({}, static_cast<std::size_t>(index) % 3);
+    world.SendRequest({}, static_cast<std::size_t>(index) % 3);
   }
   world.Run(30s);
   CHECK(world.CodeOf(killer) == 5103);
   CHECK(crashing.crashes == 2);
-  CHECK(crashing.largest == 0);
+  CHECK(crashing.largestSharedBatch == 0);
   for (const auto& [request, finished] : world.finished) {
     CHECK((request == killer || finished.finish.code == ResultCode::kOk));
   }
@@ -127,10 +127,10 @@
   // The daemon that does not hold the cell dies.
   const std::size_t holder = world.DumpOf("cells.models.held", 0) == "yes" ? 0 : 1;
   const std::size_t victim = 2 - holder;
-  world.Ask({ .fingerprint = FingerprintId{ "f" } }, victim);
+  world.SendRequest({ .fingerprint = FingerprintId{ "f" } }, victim);
   world.Run(5s);
   CHECK(world.started.size() == 2);
-  const RequestId blocked = world.Ask({}, holder);
+  const RequestId blocked = world.SendRequest({}, holder);
   world.Run(2s);
   CHECK(world.CodeOf(blocked) == 0);
   world.Kill(victim);
@@ -145,7 +145,7 @@
   const RequestArrived arrived{ .timeLeft = 20s, .fingerprint = FingerprintId{ "f" } };
   std::vector<RequestId> requests;
   for (int index = 0; index < 40; ++index) {
-    requests.push_back(world.Ask(arrived, 0));
+    requests.push_back(world.SendRequest(arrived, 0));
   }
   world.Run(1s);
   world.Apply(1, QuarantineReleased{ FingerprintId{ "f" } });
