--- a/src/decision/context_type.h
+++ b/src/decision/context_type.h
@@ -41,7 +41,7 @@
   TimePoint wake() const { return mWake; }
 
   /* Returns a name that no other incarnation and no earlier call has returned. */
-  std::string NewName()
+  std::string NewUniqueId()
   {
     return mOptions.self.daemon.str() + "." + mOptions.self.id.str() + "." +
            std::to_string(++mNextNumber);
--- a/src/decision/decision_settings_type.h
+++ b/src/decision/decision_settings_type.h
@@ -23,7 +23,7 @@
   Duration replicaLifetime = 10s;   ///< Time for which a router may use a location unasked.
   Duration orderRetry = 500ms;      ///< Time before an order with unknown outcome is repeated.
   Duration progressLimit = 3s;      ///< Longest silence of an attempt.
-  Duration tableRetry = 500ms;      ///< Time before a failed table call is repeated.
+  Duration tableRetryDelay = 500ms; ///< Time before a failed table call is repeated.
   Duration quarantineLength = 600s; ///< Time for which a convicted request is refused.
   std::uint32_t candidateRunners =
     4;                            ///< Runners a model may be loaded on without a written placement.
--- a/src/decision/node.cpp
+++ b/src/decision/node.cpp
@@ -55,7 +55,7 @@
   }
   void Handle(Context& aContext, const ShutdownRequested& /*aEvent*/)
   {
-    view.NoteStopping(aContext);
+    view.SetStopping(aContext);
     isStopping = true;
   }
   void Handle(Context& aContext, const Wake& /*aEvent*/)
@@ -108,13 +108,13 @@
 
 void Node::Impl::FinishShutdown(Context& aContext)
 {
-  scheduler.HandOver(aContext, view);
+  scheduler.ReleaseLeases(aContext, view);
   const bool mayEnd = router.IsIdle() || !aContext.IsEnabled(Mechanism::kShutdownDrain);
   if (!isComplete && mayEnd && scheduler.IsIdle()) {
     isComplete = true;
     aContext.Emit(ShutdownComplete{});
   }
-  aContext.WakeBy(aContext.now() + options.settings.tableRetry);
+  aContext.WakeBy(aContext.now() + options.settings.tableRetryDelay);
 }
 
 Node::Node(NodeOptions aOptions)
@@ -148,7 +148,7 @@
     context.Emit(WakeAt{ mImpl->wake });
   }
   std::vector<Action> actions = context.TakeActions();
-  mImpl->scheduler.NoteOrders(actions);
+  mImpl->scheduler.RecordOrders(actions);
   return actions;
 }
 
--- a/src/decision/router/claim.cpp
+++ b/src/decision/router/claim.cpp
@@ -137,7 +137,7 @@
   if (mBatch.empty()) {
     return;
   }
-  mPendingChange = ChangeId{ aContext.NewName() };
+  mPendingChange = ChangeId{ aContext.NewUniqueId() };
   mNextSendAt =
     aContext.now() + (mBatch.size() >= kDelayingBatchSize ? kCommitSpacing : Duration{});
   transaction.change = mPendingChange;
@@ -225,7 +225,7 @@
   const bool isUnknown = aResult.outcome == TransactionOutcome::kUnknown;
   mConsecutiveUnknowns = isUnknown ? mConsecutiveUnknowns + 1 : 0;
   if (isUnknown) {
-    mNextSendAt = aContext.now() + aContext.settings().tableRetry;
+    mNextSendAt = aContext.now() + aContext.settings().tableRetryDelay;
   }
   const std::vector<RequestId> batch = std::exchange(mBatch, {});
   for (const RequestId& request : batch) {
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -63,7 +63,7 @@
 
 void Cell::ReadLeaseAndPlacement(Context& aContext)
 {
-  mReadInFlight = ChangeId{ aContext.NewName() };
+  mReadInFlight = ChangeId{ aContext.NewUniqueId() };
   aContext.Emit(TableRead{ mReadInFlight, { CellLeaseKey(mId), PlacementKey(mId) } });
 }
 
@@ -75,7 +75,7 @@
   mReadInFlight = {};
   mIsTableReachable = aResult.ok;
   if (!aResult.ok || aResult.rows.size() != 2) {
-    mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
+    mNextLeaseAction = aContext.now() + aContext.settings().tableRetryDelay;
     aContext.WakeBy(mNextLeaseAction);
     return;
   }
@@ -145,7 +145,7 @@
 void Cell::AcquireLease(Context& aContext)
 {
   mPhase = LeasePhase::kAcquiring;
-  mLeaseChange = ChangeId{ aContext.NewName() };
+  mLeaseChange = ChangeId{ aContext.NewUniqueId() };
   mLeaseChangeSentAt = aContext.now();
   CellLeaseRow lease{ .holder = aContext.self(),
                       .fence = Fence{ mFence.value + 1 },
@@ -165,10 +165,10 @@
 void Cell::RenewLease(Context& aContext)
 {
   if (!mLeaseChange.empty() || !mReadInFlight.empty()) {
-    mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
+    mNextLeaseAction = aContext.now() + aContext.settings().tableRetryDelay;
     return;
   }
-  mLeaseChange = ChangeId{ aContext.NewName() };
+  mLeaseChange = ChangeId{ aContext.NewUniqueId() };
   mLeaseChangeSentAt = aContext.now();
   mNextLeaseAction = aContext.now() + aContext.settings().leaseRenewal;
   const CellLeaseRow lease{
@@ -184,7 +184,7 @@
   if (mPhase != LeasePhase::kHeld || !mLeaseChange.empty()) {
     return;
   }
-  mLeaseChange = ChangeId{ aContext.NewName() };
+  mLeaseChange = ChangeId{ aContext.NewUniqueId() };
   mIsReleasingLease = true;
   const CellLeaseRow lease{
     .holder = {}, .fence = mFence, .renewals = mRenewals + 1, .change = mLeaseChange
@@ -223,7 +223,7 @@
     mOrdersBeingWritten.clear();
   }
   if (aResult.outcome == TransactionOutcome::kUnknown) {
-    mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
+    mNextLeaseAction = aContext.now() + aContext.settings().tableRetryDelay;
     aContext.WakeBy(mNextLeaseAction);
     mPhase = mPhase == LeasePhase::kHeld && !mIsReleasingLease ? mPhase : LeasePhase::kNotHeld;
     mIsReleasingLease = false;
@@ -337,7 +337,7 @@
   mPlannedRunners.clear();
   mIsolation.reset();
   mQueuedIsolations.clear();
-  mNextLeaseAction = aContext.now() + aContext.settings().tableRetry;
+  mNextLeaseAction = aContext.now() + aContext.settings().tableRetryDelay;
   aContext.WakeBy(mNextLeaseAction);
 }
 
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -40,7 +40,7 @@
       }
       continue;
     }
-    runner.inventoryOrder = OrderId{ aContext.NewName() };
+    runner.inventoryOrder = OrderId{ aContext.NewUniqueId() };
     runner.inventoryRequestedAt = aContext.now();
     aContext.Emit(SendOrder{ .cell = mId,
                              .runner = id,
@@ -300,7 +300,7 @@
       const auto spec = aView.configuration().models.find(loaded.model);
       replica.model = loaded.model;
       replica.version = loaded.version;
-      replica.order = OrderId{ aContext.NewName() };
+      replica.order = OrderId{ aContext.NewUniqueId() };
       replica.issuer = aContext.self();
       replica.lastUsed = aContext.now();
       replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -140,7 +140,7 @@
   replica.version = aModel.version;
   replica.memory = needed;
   replica.phase = ReplicaPhase::kLoadDecided;
-  replica.order = OrderId{ aContext.NewName() };
+  replica.order = OrderId{ aContext.NewUniqueId() };
   replica.issuer = aContext.self();
   replica.lastUsed = aContext.now();
   mPlannedRunners.erase(aModel.id);
@@ -253,7 +253,7 @@
            !aContext.IsEnabled(Mechanism::kDrainBeforeUnload))) {
         replica.isFinalInventoryRequested = false;
         replica.phase = ReplicaPhase::kUnloadDecided;
-        replica.order = OrderId{ aContext.NewName() };
+        replica.order = OrderId{ aContext.NewUniqueId() };
         replica.issuer = aContext.self();
         replica.isIntentWritten = false;
         replica.isOrderConfirmed = false;
@@ -341,7 +341,7 @@
 
 PlacementRow Cell::MakePlacementRow(Context& aContext) const
 {
-  PlacementRow row{ .fence = mFence, .entries = {}, .change = ChangeId{ aContext.NewName() } };
+  PlacementRow row{ .fence = mFence, .entries = {}, .change = ChangeId{ aContext.NewUniqueId() } };
   for (const auto& [id, runner] : mRunners) {
     for (const auto& [model, replica] : runner.replicas) {
       row.entries.push_back({ .runner = id,
--- a/src/decision/scheduler/scheduler.cpp
+++ b/src/decision/scheduler/scheduler.cpp
@@ -103,7 +103,7 @@
     aContext, aFrom, OrderWithdrawnMessage{ aWithdraw.cell, aWithdraw.order, aWithdraw.issuer });
 }
 
-void Scheduler::NoteOrders(const std::vector<Action>& aActions)
+void Scheduler::RecordOrders(const std::vector<Action>& aActions)
 {
   for (const Action& action : aActions) {
     if (const auto* order = std::get_if<SendOrder>(&action)) {
@@ -112,7 +112,7 @@
   }
 }
 
-void Scheduler::HandOver(Context& aContext, const View& aView)
+void Scheduler::ReleaseLeases(Context& aContext, const View& aView)
 {
   for (auto& [id, cell] : mCells) {
     cell.ReleaseLease(aContext, aView);
--- a/src/decision/scheduler/scheduler_base.h
+++ b/src/decision/scheduler/scheduler_base.h
@@ -21,10 +21,10 @@
   void OnOrderResult(Context& aContext, const View& aView, const OrderResult& aResult);
   void OnMessage(Context& aContext, const View& aView, const MessageReceived& aReceived);
   /* Releases the leases that this daemon holds. Called repeatedly while the daemon stops. */
-  void HandOver(Context& aContext, const View& aView);
+  void ReleaseLeases(Context& aContext, const View& aView);
 
   /* Records the orders among the actions as in flight until their results are reported. */
-  void NoteOrders(const std::vector<Action>& aActions);
+  void RecordOrders(const std::vector<Action>& aActions);
 
   /* Returns whether no lease is held or being acquired. */
   bool IsIdle() const;
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -257,7 +257,7 @@
 void View::PollConfiguration(Context& aContext)
 {
   if (mPollRead.empty() && mNextPollAt <= aContext.now()) {
-    mPollRead = ChangeId{ aContext.NewName() };
+    mPollRead = ChangeId{ aContext.NewUniqueId() };
     mPollStartedAt = aContext.now();
     aContext.Emit(TableRead{ mPollRead, { ConfigurationHeadKey() } });
   }
@@ -364,7 +364,7 @@
   }
 }
 
-void View::NoteStopping(Context& aContext)
+void View::SetStopping(Context& aContext)
 {
   if (mReadiness == Readiness::kStopping) {
     return;
--- a/src/decision/view/view_base.h
+++ b/src/decision/view/view_base.h
@@ -93,7 +93,7 @@
   /* Marks an endpoint that refused a connection as unusable for a short time. */
   void RecordRefusedConnection(const Context& aContext, const EndpointId& aEndpoint);
   /* Sets the readiness to kStopping, for good. */
-  void NoteStopping(Context& aContext);
+  void SetStopping(Context& aContext);
 
   /* Sends a message to a daemon; does nothing if its address is unknown. */
   void SendTo(Context& aContext, const DaemonId& aDaemon, Message aMessage) const;
