--- a/src/decision/fleet/dispatch_estimate.h
+++ b/src/decision/fleet/dispatch_estimate.h
@@ -1,4 +1,4 @@
-/* How long runners take, as the dispatcher expects. */
+/* Constants and functions by which the dispatcher estimates how long runners take. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DISPATCH_ESTIMATE_H
 #define RHUBARBTRAIL_DECISION_FLEET_DISPATCH_ESTIMATE_H
 
@@ -9,18 +9,20 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Prompt tokens that a runner reads in a millisecond between the tokens of other requests; the
- * operators state 19 for a runner that does nothing else. */
+/* Prompt tokens that a runner processes per millisecond while it also generates tokens for other
+ * requests. The operators state 19 for a runner that does nothing else. */
 constexpr double kReadingRate = 15.0;
-/* Time of the runner that one output token takes when about twenty requests share a step. */
+/* Runner time per output token when about twenty requests share each decoding step. */
 constexpr Duration kTokenTime = 450us;
-/* What each request in the batch adds to the time to a first token. */
+/* Delay of a request's first token for each request that the runner already runs. */
 constexpr Duration kBatchDelay = 1ms;
-/* An adapter's way from the weight store; the operators state 6 to 19 ms. */
+/* Time to load an adapter from the weight store. The operators state 6 to 19 ms. */
 constexpr Duration kAdapterLoadTime = 22ms;
-/* Cost of crossing zones: a round trip, and the price of the bytes. */
+/* Penalty for a runner in another zone than the requesting daemon: a round trip, and the price of
+ * the bytes between zones expressed as a delay. */
 constexpr Duration kZoneDelay = 8ms;
 
+/* Returns the time to process prompt tokens that the runner does not have in its prompt cache. */
 inline Duration ReadingTime(std::uint32_t aTokens)
 {
   return Duration{ static_cast<Duration::rep>(aTokens / kReadingRate * 1e3) };
@@ -31,7 +33,8 @@
   return Duration{ static_cast<Duration::rep>(static_cast<double>(aTime.count()) * aFactor) };
 }
 
-/* Returns for how long a request keeps a runner from serving others. */
+/* Returns the runner time that a request uses: its whole prompt, and its output at the maximum
+ * length. */
 inline Duration EstimateWork(const ModelWork& aWork)
 {
   return ReadingTime(aWork.promptTokens) + aWork.outputTokens * kTokenTime;
--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -1,4 +1,4 @@
-/* The dispatcher's view of runners, questions and places. */
+/* The dispatcher's state: runners, waiting placement requests and assignments. */
 #include "decision/fleet/dispatcher.h"
 
 #include "decision/fleet/dispatch_estimate.h"
@@ -9,10 +9,11 @@
 
 namespace {
 
-/* Longest time between two ticks while there is something to watch. */
+/* Longest time between two ticks while requests wait or swaps are planned, and otherwise. */
 constexpr Duration kWatchInterval = 100ms;
 constexpr Duration kIdleInterval = 500ms;
-/* Age of reports: one that is asked for after this time tells what held at the refusal. */
+/* Delay of the report request after a runner refused a request. Reports lag behind the runner's
+ * state. One requested after this time shows the state at the refusal or later. */
 constexpr Duration kDoubtTime = 150ms;
 
 EndpointSign SignOf(PlaceEnd aEnd)
@@ -47,7 +48,7 @@
   }
 }
 
-/* Works out once for each configuration what planning asks for with each runner. */
+/* Called once per service and configuration, since planning needs the result for every runner. */
 EngineRoom Dispatcher::RoomOf(const Engine& aEngine)
 {
   EngineRoom room{ .smallest = aEngine.weights };
@@ -59,7 +60,8 @@
       largestAdapter = std::max(largestAdapter, model.adapterWeights);
     }
   }
-  // Room for all adapters is kept free, so that loading one never overcommits the runner.
+  // Memory for a full set of the largest adapters is reserved, so that loading an adapter never
+  // overcommits the runner.
   room.models = aEngine.weights -
                 MemoryMb{ largestAdapter.value * static_cast<std::int64_t>(aEngine.adapterSlots) };
   return room;
@@ -76,7 +78,7 @@
 void Dispatcher::SetOrderRight(const OrderRight& aRight)
 {
   if (aRight.fence != mRight.fence) {
-    // Another daemon may have given orders meanwhile.
+    // Another daemon may have sent orders since this daemon last held the lease.
     for (auto& [id, runner] : mRunners) {
       runner.isVerified = false;
       runner.order.reset();
@@ -129,8 +131,8 @@
   }
   runner.entry = aEntry;
   runner.isGone = false;
-  // An entry does not tell which orders it follows. Who gives orders believes reports only, and
-  // asks for one when something seems to have changed.
+  // An entry does not tell which orders it already reflects, so it does not replace holdings that a
+  // report has confirmed. A new report is requested instead.
   if (!runner.isVerified) {
     AdoptHoldings(aNow, runner, aEntry.holdings);
   } else {
@@ -189,7 +191,7 @@
 void Dispatcher::OnAsk(TimePoint aNow, const PlacementAsk& aAsk, const ZoneId& aZone)
 {
   if (const auto known = mPlaces.find(aAsk.id); known != mPlaces.end()) {
-    // The answer was lost with a connection.
+    // A repeated request is already assigned: the first reply was lost with a connection.
     mActions.emplace_back(
       PlacementReply{ .id = aAsk.id, .answer = PlaceGranted{ known->second.runner } });
     return;
@@ -203,7 +205,7 @@
   const ModelId& model = aAsk.work.target.model;
   const double factor = mPaces.Factor(model);
   mDemand.Note(aNow, model, ScaleBy(EstimateWork(aAsk.work), factor));
-  // Load pattern: bursts at several hosts at once. The most urgent goes first over all hosts.
+  // Load pattern: bursts at several hosts at once. The most urgent requests of all hosts go first.
   const auto place = std::upper_bound(
     mWaiting.begin(),
     mWaiting.end(),
@@ -227,7 +229,8 @@
   if (runner != mRunners.end()) {
     runner->second.health.Note(aNow, SignOf(aReleased.end));
     if (aReleased.end == PlaceEnd::kRefused) {
-      // It may not hold what it is believed to hold; until a report tells, it gets no orders.
+      // The runner may not hold what is assumed. It gets no orders until a report confirms its
+      // state.
       const ModelRef target = place->second.model;
       DoubtLoad(runner->second, target.model);
       const auto held = runner->second.models.find(target.model);
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -1,5 +1,6 @@
-/* The dispatcher: one daemon that sees the whole fleet's requests for models, gives each a place at
- * a runner, and orders the runners to hold what is asked for. */
+/* The dispatcher: the one daemon that receives the placement requests of all daemons. It assigns
+ * each request to a runner and orders the runners to load and unload models and adapters to match
+ * demand. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DISPATCHER_H
 #define RHUBARBTRAIL_DECISION_FLEET_DISPATCHER_H
 
@@ -23,28 +24,31 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A report of this runner is wanted. */
+/* Asks the caller of Tick() to fetch a report from this runner and to pass it to OnReport(). */
 struct ReportWanted
 {
   EndpointId runner;
   std::string address;
 };
 
-/* A decision, for the logs. */
+/* A decision, to be written to the event log. */
 struct DispatchNote
 {
   std::string_view event;
-  std::string request; ///< Empty when it touches none.
+  std::string request; ///< Empty when the decision is not about a single request.
   EndpointId runner;
   ModelRef model;
   std::string_view why;
-  Duration time{}; ///< What the decision expects or has waited; the event tells which.
+  /* An expected or elapsed duration, or the age of the last order, depending on the event. */
+  Duration time{};
+  /* Requests, orders or victims, depending on the event. */
   std::uint64_t count = 0;
 };
 
 using DispatchAction = std::variant<PlacementReply, RunnerOrder, ReportWanted, DispatchNote>;
 
-/* Whether orders may leave now, and under which name and number. */
+/* Whether this daemon may send orders now, and the holder name and fencing token to send with them.
+ */
 struct OrderRight
 {
   bool mayOrder = false;
@@ -52,11 +56,13 @@
   Fence fence;
 };
 
-/* An adapter that a runner holds or is getting. */
+/* An adapter that a runner holds or is loading. */
 struct HeldAdapter
 {
-  bool isOrdered = false; ///< The runner has not taken the order yet.
-  TimePoint readyAt{};
+  /* A load was sent and is not accepted yet, or an unload was accepted and no report has been
+   * adopted since. Requests for the adapter wait meanwhile. */
+  bool isOrdered = false;
+  TimePoint readyAt{}; ///< When the adapter is expected to be loaded.
   TimePoint lastUsed{};
   std::uint32_t inFlight = 0;
 };
@@ -67,68 +73,73 @@
   std::map<AdapterId, HeldAdapter> adapters;
   TimePoint lastUsed{};
   std::uint32_t inFlight = 0;
-  bool isLeaving = false; ///< To be unloaded; gets no more requests.
-  /* What keeping it is worth, as last worked out, and when that was. */
+  bool isLeaving = false; ///< Will be unloaded for a planned swap. Gets no more requests.
+  /* Cached result of KeepValue(), in seconds, and when it was computed. */
   mutable double keepValue = 0.0;
   mutable TimePoint keepValueAt{};
 };
 
-/* An order that a runner has not been seen to have carried out. */
+/* An order that was sent to a runner and is not known to be carried out yet. */
 struct PendingOrder
 {
   enum class Phase : std::uint8_t
   {
-    kSent,     ///< Its answer is awaited.
-    kAccepted, ///< It is being carried out.
-    kUnsure,   ///< There was no answer: it may be carried out, now or later.
+    kSent,     ///< The runner has not answered yet.
+    kAccepted, ///< The runner accepted the order and carries it out.
+    kUnsure,   ///< The answer was lost. The runner may carry the order out, now or later.
   };
 
   RunnerOrder order;
   Phase phase = Phase::kSent;
   TimePoint sentAt{};
-  TimePoint expectedAt{}; ///< When it should have been carried out.
-  Duration expected{};    ///< Its duration at full speed.
-  Duration longest{};     ///< The same without the copy in memory, which may have gone.
+  TimePoint expectedAt{}; ///< When the order should be carried out.
+  Duration expected{};    ///< Duration when the weight store is not slowed by other loads.
+  Duration longest{};     ///< Duration if the copy in host memory is gone and the disk is read.
   bool isFromStore = false;
-  std::size_t besides = 0; ///< Other loads from the store when it was given.
-  /* A load that was ordered while this unload may still have been under way; its acceptance shows
-   * that the unload is done, since a runner carries out one order at a time. */
+  std::size_t besides = 0; ///< Other weight store loads in progress or planned when it was sent.
+  /* Set for a load that was sent while the accepted unload of this model was not yet known to be
+   * done. A runner carries out one order at a time, so when it accepts the load the unload is done.
+   */
   std::optional<ModelId> after;
-  /* From when on a load counts as done although no report has shown it yet. */
+  /* Time from which a load counts as done even if no report has shown it yet. */
   std::optional<TimePoint> presumedDoneAt;
   bool isPresumedDone = false;
 
   bool IsAboutAdapter() const { return !order.subject.adapter.empty(); }
 };
 
-/* What the weights of a service's runners can be used for. */
+/* How the weight memory of each runner of a service is divided, and the sizes of the service's
+ * models. */
 struct EngineRoom
 {
-  MemoryMb models;   ///< Without the part that is kept for adapters.
-  MemoryMb largest;  ///< Of the models; those that the configuration does not name count as this.
-  MemoryMb smallest; ///< Of the models.
+  MemoryMb models;   ///< Memory for models: all weight memory but the part reserved for adapters.
+  MemoryMb largest;  ///< Weights of the largest model, also assumed for models not configured.
+  MemoryMb smallest; ///< Weights of the smallest model.
 };
 
-/* A runner as the dispatcher believes it to be. */
+/* The state of a runner as the dispatcher assumes it from entries, reports and its own orders. */
 struct ManagedRunner
 {
   RunnerEntry entry;
-  const Engine* engine = nullptr; ///< Of its service; null for plain services.
-  EngineRoom room;                ///< Of the engine.
-  bool isGone = false;
-  bool isVerified = false; ///< A report was read since orders may be given.
+  const Engine* engine = nullptr; ///< Engine of the runner's service. Null for plain services.
+  EngineRoom room;
+  bool isGone = false; ///< The entry was removed, but requests are still in flight.
+  /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by a
+   * new fencing token, a restart of the runner, a refused request, and a report that the runner
+   * carries out an order that is not pending here. */
+  bool isVerified = false;
   std::map<ModelId, HeldModel> models;
   std::set<ModelId> inHostMemory;
   std::set<ModelId> onDisk;
   std::uint64_t orderCount = 0;
   std::optional<PendingOrder> order;
-  TimePoint nextOrder{};             ///< No order before this time.
-  TimePoint lastOrderAt{};           ///< When an order was last accepted, or may have been.
-  std::optional<TimePoint> reportAt; ///< A report is wanted from this time on.
+  TimePoint nextOrder{};             ///< No order is sent before this time.
+  TimePoint lastOrderAt{};           ///< When an order was last accepted or its answer was lost.
+  std::optional<TimePoint> reportAt; ///< When to fetch the next report.
   bool isReportUnderWay = false;
   std::uint32_t inFlight = 0;
-  std::uint64_t tokens = 0; ///< Of the requests in flight, at most.
-  TimePoint readingUntil{}; ///< When the prompts sent so far have been read.
+  std::uint64_t tokens = 0; ///< Upper bound for the tokens of the requests in flight.
+  TimePoint readingUntil{}; ///< When all prompts sent so far are expected to be processed.
   PromptCache cache;
   EndpointHealth health;
 };
@@ -144,16 +155,19 @@
   void OnAsk(TimePoint aNow, const PlacementAsk& aAsk, const ZoneId& aZone);
   void OnReleased(TimePoint aNow, const PlaceReleased& aReleased);
   void OnPlaceInUse(TimePoint aNow, const PlaceInUse& aPlace);
-  /* A daemon has gone: its questions are dropped and its places are free. */
+  /* Drops the placement requests of a daemon that is gone and releases its assignments. */
   void OnDaemonLost(const DaemonId& aDaemon);
-  /* This daemon is not the dispatcher any more. */
+  /* Drops requests, assignments, swaps and pending orders when this daemon stops being the
+   * dispatcher. Assumed holdings are kept. */
   void Clear();
   void OnOrderResult(TimePoint aNow, const EndpointId& aRunner, OrderOutcome aOutcome);
+  /* Takes the result of a report request. The report is null when it could not be read. */
   void OnReport(TimePoint aNow, const EndpointId& aRunner, const RunnerReport* aReport);
 
-  /* Decides what can be decided now. */
+  /* Assigns waiting requests, plans and sends orders, and returns the actions for the caller to
+   * carry out. */
   std::vector<DispatchAction> Tick(TimePoint aNow);
-  /* When to call Tick() next if nothing happens before. */
+  /* When to call Tick() next if no event arrives before. */
   TimePoint nextWake() const { return mNextWake; }
 
   std::size_t waiting() const { return mWaiting.size(); }
@@ -164,7 +178,7 @@
   struct StoreLimits
   {
     Duration window = 5s;
-    double overage = 1.0; ///< Loads in the window, in times of the stated rate.
+    double overage = 1.0; ///< Factor on the configured load rate that is allowed over the window.
   };
   void SetStoreLimits(const StoreLimits& aLimits) { mStoreLimits = aLimits; }
 
@@ -177,15 +191,17 @@
     TimePoint deadline{};
   };
 
+  /* A request that runs at a runner. */
   struct Place
   {
     EndpointId runner;
     ModelRef model;
     std::uint64_t tokens = 0;
-    Duration expected{}; ///< Time to the first event, as expected when it was given.
+    Duration
+      expected{}; ///< Expected time to the first event. 0 if this dispatcher did not assign it.
   };
 
-  /* A model that takes the place of others at a runner. */
+  /* A planned load of a model at a runner, and the models to unload for it, if any. */
   struct Swap
   {
     EndpointId runner;
@@ -195,10 +211,10 @@
     Duration loadTime{};
     bool isFromStore = false;
     TimePoint plannedAt{};
-    double cost = 0.0; ///< Expected delay of callers, in seconds.
+    double cost = 0.0; ///< Delay that the swap is expected to cause for callers, in seconds.
   };
 
-  /* What an order is expected to take, and why it is given. */
+  /* Expected durations of an order and the reason for it. PendingOrder explains the durations. */
   struct OrderDetails
   {
     Duration expected{};
@@ -214,7 +230,7 @@
   void AdoptHoldings(TimePoint aNow, ManagedRunner& aRunner, const RunnerHoldings& aHoldings);
   void Occupy(TimePoint aNow, const PlacementAsk& aAsk, ManagedRunner& aRunner, Duration aExpected);
   void Free(TimePoint aNow, const AskId& aAsk);
-  /* Frees the places of a daemon, or of all when none is named. */
+  /* Releases the assignments of a daemon, or of all daemons if none is given. */
   void FreePlacesOf(const std::optional<DaemonId>& aDaemon);
   void ForgetSwaps();
   const Engine* EngineOf(const ServiceId& aService) const;
@@ -223,9 +239,11 @@
 
   // dispatcher_grant.cpp
   void ServeWaiting(TimePoint aNow);
-  /* Tries to give a place; returns whether the question is settled. */
+  /* Tries to assign a request. Returns whether it was answered and need not wait any longer. */
   bool Serve(TimePoint aNow, const Waiting& aWaiting);
   bool IsUsable(const ManagedRunner& aRunner) const;
+  /* Returns the expected time to the first event, or nothing if the runner cannot take the request.
+   */
   std::optional<Duration> EstimateStart(TimePoint aNow,
                                         const ManagedRunner& aRunner,
                                         const Waiting& aWaiting) const;
@@ -234,14 +252,18 @@
 
   // dispatcher_plan.cpp
   void PlanModels(TimePoint aNow);
-  /* Plans a replica where it costs least, if that is below its benefit; returns whether it did. */
+  /* Plans a replica at the runner where it costs least, unless it costs more than the benefit.
+   * Returns whether a swap was planned. */
   bool PlanSwap(TimePoint aNow,
                 const ServiceId& aService,
                 const ModelId& aModel,
                 double aBenefit,
                 std::string_view aWhy);
-  /* Returns whether a runner has neither a swap ahead nor a model on its way. */
+  /* Returns whether a swap can be planned at the runner: it is ready, its holdings are confirmed,
+   * no other swap is planned and no model order is pending. */
   bool IsFree(const ManagedRunner& aRunner) const;
+  /* Returns a swap that loads the model at this runner by unloading the models of least value, or
+   * nothing if the model does not fit. */
   std::optional<Swap> FindSwap(TimePoint aNow,
                                const ManagedRunner& aRunner,
                                const Model& aModel) const;
@@ -254,17 +276,22 @@
                           const ModelId& aModel,
                           const HeldModel& aHeld) const;
   void AddSwap(Swap aSwap, std::string_view aWhy);
+  /* Returns how many ready runners of the service hold the model and will not unload it. */
   std::uint32_t Replicas(const ServiceId& aService, const ModelId& aModel) const;
-  /* Returns the runners that hold a model, of all services. */
+  /* Returns the runners of all services that hold a model. */
   const std::vector<ManagedRunner*>& Holders(const ModelId& aModel) const;
   void PlanMissing(TimePoint aNow);
   double ValueOf(TimePoint aNow, const Waiting& aWaiting, Duration aLoadTime) const;
   void PlanCrowded(TimePoint aNow);
   void PlanRoom(TimePoint aNow);
   std::optional<ModelId> BestForRoom(TimePoint aNow, const ManagedRunner& aRunner) const;
+  /* Returns whether a runner of the service has a copy of the model on disk or in host memory. */
   bool HasCopy(const ServiceId& aService, const ModelId& aModel) const;
   void NoteComing();
+  /* Returns how many replicas of the model are planned or being loaded at runners of the service.
+   */
   std::uint32_t Coming(const ServiceId& aService, const ModelId& aModel) const;
+  /* Returns the swap planned for a runner, or null. */
   const Swap* SwapAt(const EndpointId& aRunner) const;
   void FollowSwaps(TimePoint aNow);
   bool FollowSwap(TimePoint aNow, const Swap& aSwap);
@@ -303,21 +330,23 @@
   OrderRight mRight;
   std::map<ServiceId, EngineRoom> mRooms;
   std::map<EndpointId, ManagedRunner> mRunners;
-  /* The runners by the models that they hold; made anew when it is asked for after a change. */
+  /* Runners by the models that they hold. Holders() rebuilds the index after a change. */
   mutable std::unordered_map<ModelId, std::vector<ManagedRunner*>> mHolders;
   mutable bool mIsIndexStale = true;
-  std::deque<Waiting> mWaiting; ///< The most urgent first; among equals, the oldest.
+  std::deque<Waiting> mWaiting; ///< By priority, the most urgent first, and then by arrival.
   TimePoint mNextPlan{};
   TimePoint mNextCrowdedCheck{};
-  /* How many replicas of a model are planned for or on their way. */
+  /* Replicas that are planned or being loaded. Recounted at each tick. */
   std::map<std::pair<ServiceId, ModelId>, std::uint32_t> mComing;
   std::map<AskId, Place> mPlaces;
   std::map<EndpointId, Swap> mSwaps; ///< By runner.
   DemandBook mDemand;
   PaceBook mPaces;
   StoreLimits mStoreLimits;
-  double mStoreLoadsAtOnce = 4.0;    ///< That run at full speed, as far as seen.
-  std::deque<TimePoint> mStoreLoads; ///< Starts of loads from the weight store.
+  double mStoreLoadsAtOnce =
+    4.0; ///< Estimated number of weight store loads that run at full speed.
+  std::deque<TimePoint>
+    mStoreLoads; ///< Start times of weight store loads within the limit's window.
   std::vector<DispatchAction> mActions;
   TimePoint mNextWake{};
 };
--- a/src/decision/fleet/dispatcher_grant.cpp
+++ b/src/decision/fleet/dispatcher_grant.cpp
@@ -1,4 +1,4 @@
-/* Gives waiting requests places at runners that hold their models. */
+/* Assigns waiting placement requests to runners that hold their models. */
 #include "decision/fleet/dispatch_estimate.h"
 #include "decision/fleet/dispatcher.h"
 
@@ -9,19 +9,19 @@
 
 namespace {
 
-/* Part of a runner's token memory that is given out: when it is full, running requests are
- * preempted and read anew, which serves nobody. */
+/* Share of a runner's token cache that assignments may fill. When the cache is full, the runner
+ * preempts running requests and processes their prompts again, which wastes its time. */
 constexpr double kUsableMemory = 0.92;
-/* Extra time that an adapter costs where it cannot be ordered at once. */
+/* Extra delay of a request whose adapter cannot be ordered at once. */
 constexpr Duration kAdapterWait = 300ms;
-/* Time before the deadline below which an answer cannot be whole any more. */
+/* Least time until the deadline with which an answer can still be complete. */
 constexpr Duration kLeastServiceTime = 250ms;
-/* How long a request waits for a model while no order may be given: a lease changes hands within
- * some seconds. */
+/* How long a request waits for a runner while this daemon may not send orders. The order lease
+ * passes to another holder within some seconds. */
 constexpr Duration kPatienceWithoutOrders = 6s;
-/* Least time for which a request waits for its model to be planned for. */
+/* Least time that a request waits for its model before it is refused because no load is planned. */
 constexpr Duration kLeastPatience = 1s;
-/* When to come back while nothing can be loaded. */
+/* Retry-after time of refusals for lack of a replica. */
 constexpr Duration kRetryWithoutOrders = 1'500ms;
 
 } // namespace
@@ -84,7 +84,8 @@
   const PlacementAsk& ask = aWaiting.ask;
   const Engine* engine = EngineOf(ask.service);
   if (engine == nullptr || !engine->models.contains(ask.work.target.model)) {
-    // The asking daemon has another configuration; it may know more.
+    // The requesting daemon has another configuration, which may contain the model. It chooses a
+    // runner itself.
     mActions.emplace_back(PlacementReply{ .id = ask.id, .answer = PlaceUnknown{} });
     return true;
   }
@@ -111,8 +112,8 @@
       Refuse(aNow, aWaiting, ResultCode::kDeadlineUnreachable, "no_place_before_deadline");
       return true;
     }
-    // Load pattern: more models asked for than can be swapped in. Who will not be served in time is
-    // told so while coming back may still help.
+    // Load pattern: more models requested than can be swapped in. A request that will not be served
+    // in time is refused early enough for a retry to help.
     const Duration patience = std::max(ask.objective * 3 / 2, kLeastPatience);
     if (mRight.mayOrder && aNow - aWaiting.askedAt > patience &&
         Holders(ask.work.target.model).empty() && Coming(ask.service, ask.work.target.model) == 0) {
--- a/src/decision/fleet/dispatcher_order.cpp
+++ b/src/decision/fleet/dispatcher_order.cpp
@@ -1,4 +1,5 @@
-/* Gives orders to runners, one at a time to each, and finds out what came of them. */
+/* Sends orders to runners, one at a time to each, and finds out from answers and reports whether
+ * they were carried out. */
 #include "decision/fleet/dispatch_estimate.h"
 #include "decision/fleet/dispatcher.h"
 
@@ -9,32 +10,38 @@
 
 namespace {
 
-/* Pause after an order that a runner did not take. */
+/* Pause before the next order after a conflict, and after a rejection or a fenced order. */
 constexpr Duration kConflictPause = 50ms;
 constexpr Duration kRejectionPause = 1s;
-/* Reports are some hundred milliseconds old; a newer one is asked for after this time. */
+/* Pause between reports while a change is awaited. Reports are some hundred milliseconds old. Also
+ * the pause after an order that could not be sent. */
 constexpr Duration kReportInterval = 110ms;
-/* Age of an order from which a report tells whether it was accepted. */
+/* Age of an order from which a report reliably shows whether the order was accepted. */
 constexpr Duration kReportLag = 400ms;
-/* Time after which an order that should have been carried out is given up. */
+/* Time past the expected end of an order after which it counts as finished even if the report does
+ * not show its effect. The reported holdings then replace the assumed ones. */
 constexpr Duration kOrderLimit = 20s;
-/* Adapters on their way to one runner; four are allowed, and one may take longer than expected. */
+/* Limit of adapter loads in progress at one runner. Runners allow four, and one load may take
+ * longer than expected. */
 constexpr std::size_t kArrivingLimit = 3;
-/* Adapters on their way to all runners that the weight store brings at full speed, where operators
- * allow the fewest. */
+/* Limit of adapter loads in progress at all runners together: what the weight store serves at full
+ * speed at the sites whose operators allow the fewest. */
 constexpr std::size_t kArrivingAtOnce = 8;
-/* Time after which an adapter that should be there counts as there for certain: while many come at
- * once each takes longer, and a runner counts those on their way. */
+/* Time past the expected end of an adapter load during which the load still counts as in progress.
+ * Each load takes longer while many run at once, and a runner limits the number in progress. */
 constexpr Duration kArrivalDoubt = 130ms;
-/* Added to the time of a load before it counts as done without a report: the runner took the order
- * before its answer came, so that this only covers its own rounding. */
+/* Margin added to the duration of a load before it counts as done without a report. The runner
+ * starts the load before its answer arrives here, so the margin only covers rounding by the runner.
+ */
 constexpr Duration kPresumeMargin = 20ms;
-/* Duration of a load, in times of the stated one, from which the store counts as shared; by how
- * much the number of loads grows when they are not slowed, and its bound. */
+/* A weight store load counts as slowed when it takes longer than this factor times its expected
+ * duration plus the report lag. The estimate of the loads that run at full speed grows by the step
+ * when a load was not slowed while at least as many ran, up to the maximum. */
 constexpr double kSlowLoad = 1.3;
 constexpr double kStoreLoadsStep = 0.25;
 constexpr double kMostStoreLoads = 16.0;
-/* Part of the weight store's rate that is used: what it counts differs a little in time. */
+/* Share of the allowed load rate that is used. The weight store counts loads at slightly different
+ * times than the dispatcher. */
 constexpr double kUsedLoadRate = 0.9;
 
 bool IsArriving(TimePoint aNow, const HeldAdapter& aAdapter)
@@ -44,7 +51,7 @@
 
 } // namespace
 
-/* Returns whether a runner takes orders, but for the one that it may have. */
+/* Returns whether a runner can be sent orders, regardless of an order that may be pending. */
 bool Dispatcher::IsOrderable(TimePoint aNow, const ManagedRunner& aRunner) const
 {
   return mRight.mayOrder && aRunner.isVerified && aNow >= aRunner.nextOrder && IsUsable(aRunner);
@@ -55,8 +62,9 @@
   return !aRunner.order && IsOrderable(aNow, aRunner);
 }
 
-/* Returns whether a load may be tried while an unload was accepted and not seen to be done: reports
- * are old, and the runner refuses the load if it is too early. */
+/* Returns whether a load may be sent after the runner accepted a model unload but before a report
+ * shows that it is done. Waiting for the report would take too long, since reports lag, and the
+ * runner refuses the load if the unload is still in progress. */
 bool Dispatcher::MayLoadAfterUnload(TimePoint aNow, const ManagedRunner& aRunner) const
 {
   return IsOrderable(aNow, aRunner) && aRunner.order &&
@@ -64,8 +72,9 @@
          aRunner.order->order.kind == OrderKind::kUnload && !aRunner.order->IsAboutAdapter();
 }
 
-/* Returns whether an adapter of the model is on its way: it takes a slot until it is there, even
- * when its model has gone, and then nobody knows of it. */
+/* Returns whether an adapter load of the model is in progress. Such a model must not be unloaded:
+ * the adapter would keep using a slot until it is loaded, and the dispatcher would no longer track
+ * it. */
 bool Dispatcher::HasArrivingAdapter(TimePoint aNow, const HeldModel& aModel)
 {
   return std::any_of(aModel.adapters.begin(), aModel.adapters.end(), [&](const auto& aItem) {
@@ -115,7 +124,7 @@
             { .expected = kAdapterLoadTime, .isFromStore = false, .why = "asked_for" });
 }
 
-/* Returns the adapters on their way to any runner. */
+/* Returns the number of adapter loads in progress at all runners. */
 std::size_t Dispatcher::ArrivingAdapters(TimePoint aNow) const
 {
   std::size_t count = 0;
@@ -179,7 +188,7 @@
   }
   const auto adapter = held->second.adapters.find(subject.adapter);
   if (adapter != held->second.adapters.end() && adapter->second.isOrdered) {
-    held->second.adapters.erase(adapter); // The runner did not take the order.
+    held->second.adapters.erase(adapter); // Was added when the order was sent.
   }
 }
 
@@ -188,7 +197,7 @@
   const auto found = mRunners.find(aRunner);
   if (found == mRunners.end() || !found->second.order ||
       found->second.order->phase != PendingOrder::Phase::kSent) {
-    return; // The runner has restarted or the right was lost meanwhile.
+    return; // The runner restarted, or this daemon lost the order lease, since the order was sent.
   }
   ManagedRunner& runner = found->second;
   switch (aOutcome) {
@@ -218,13 +227,14 @@
   }
 }
 
-/* The runner did not take the order: another one is under way, or it has accepted others. */
+/* The order did not take effect: it conflicted with another order, was fenced or rejected, or could
+ * not be sent. */
 void Dispatcher::OnConflict(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
   DropOrder(aRunner);
   if (pending.after) {
-    // The unload before it is still under way.
+    // The preceding unload may still be in progress: make it the pending order again.
     PendingOrder unload{ .order = pending.order,
                          .phase = PendingOrder::Phase::kAccepted,
                          .sentAt = pending.sentAt,
@@ -256,8 +266,9 @@
         held->second.adapters[subject.adapter] = { .readyAt = aNow + kAdapterLoadTime,
                                                    .lastUsed = aNow };
       } else {
-        // Requests that the dispatcher does not know still use it; its slot is taken until a report
-        // shows it gone.
+        // The runner accepted the unload instead of finishing it at once, so requests unknown to
+        // the dispatcher still use the adapter. Its slot counts as taken until a report shows it
+        // gone.
         held->second.adapters[subject.adapter].isOrdered = true;
         WantReport(aNow + kReportLag, aRunner);
       }
@@ -277,7 +288,7 @@
   WantReport(std::max(pending.expectedAt, aNow + kReportInterval), aRunner);
 }
 
-/* The runner says that what was ordered already holds. */
+/* The runner answered that the ordered state already holds. */
 void Dispatcher::OnHeld(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
@@ -292,7 +303,7 @@
       held->second.adapters[subject.adapter] = { .readyAt = aNow, .lastUsed = aNow };
     } else {
       held->second.adapters.erase(subject.adapter);
-      ++aRunner.orderCount; // An unload that is done at once counts as an order.
+      ++aRunner.orderCount; // The runner also counts an unload that it finishes at once.
       aRunner.lastOrderAt = aNow;
     }
   }
@@ -322,8 +333,9 @@
          .count = aRunner.orderCount });
 }
 
-/* Load pattern: many models swapped in from the runners' disks. Such a load takes as long as
- * stated, and reports are some hundred milliseconds old; callers do not wait for them. */
+/* Load pattern: many models swapped in from the runners' disks. Such loads take as long as
+ * configured, and reports are some hundred milliseconds old, so waiting for a report would delay
+ * callers. */
 void Dispatcher::PresumeLoads(TimePoint aNow)
 {
   for (auto& [id, runner] : mRunners) {
@@ -348,7 +360,8 @@
   }
 }
 
-/* A request was refused: a load that was presumed to be done is not. */
+/* Called when a runner refused a request for a model: a load of it that was presumed done is not.
+ */
 void Dispatcher::DoubtLoad(ManagedRunner& aRunner, const ModelId& aModel)
 {
   if (aRunner.order && aRunner.order->isPresumedDone &&
@@ -401,17 +414,18 @@
     return;
   }
   if (aReport->startedAtMs < runner.entry.startedAtMs) {
-    WantReport(aNow + kReportLag, runner); // Of the runner's life before.
+    WantReport(aNow + kReportLag, runner); // The report is from before the runner's last restart.
     return;
   }
   if (aReport->startedAtMs > runner.entry.startedAtMs) {
-    RunnerEntry entry = runner.entry; // It has restarted, and its entry does not tell yet.
+    RunnerEntry entry = runner.entry; // The runner restarted and its entry is still the old one.
     entry.startedAtMs = aReport->startedAtMs;
     entry.holdings = aReport->holdings;
     Reset(aNow, runner, entry);
   }
-  // A load of a former holder, or one of ours without an answer, may be under way; what it brings
-  // is not listed yet, so there may be less room than it seems.
+  // A busy runner without a pending order may carry out a load of a former holder, or one of this
+  // daemon whose answer was lost. The report does not list that model yet, so there may be less
+  // free memory than it shows.
   runner.isVerified = !aReport->isBusy || runner.order;
   Note({ .event = "report_read",
          .request = {},
@@ -426,7 +440,7 @@
   }
   const bool mayBeOld = aNow - runner.lastOrderAt < kReportLag;
   if (aReport->orderCount < runner.orderCount && mayBeOld) {
-    WantReport(aNow + kReportInterval, runner); // Made before the last order was accepted.
+    WantReport(aNow + kReportInterval, runner); // The report predates the last accepted order.
     return;
   }
   runner.orderCount = aReport->orderCount;
@@ -449,7 +463,8 @@
     return;
   }
   if (isUnsure && !hasCountMoved) {
-    // If it comes late, the count that it expects keeps it from taking effect beside the next one.
+    // If the order still reaches the runner after the next one was accepted, its expected order
+    // count is out of date and the runner refuses it.
     GiveUpOrder(aNow, aRunner, aReport, "not_accepted");
     return;
   }
@@ -457,8 +472,8 @@
   const bool hasEffect =
     pending.IsAboutAdapter() || isHeld == (pending.order.kind == OrderKind::kLoad);
   if (isUnsure && !aReport.isBusy && !hasEffect) {
-    // An earlier order without an answer was carried out late, and the count moved by it. This one
-    // cannot take effect any more.
+    // An earlier unanswered order was carried out late and increased the count. The runner will
+    // refuse this one, whose expected order count is out of date.
     GiveUpOrder(aNow, aRunner, aReport, "overtaken");
     return;
   }
@@ -476,7 +491,7 @@
   WantReport(aNow + kReportInterval, aRunner);
 }
 
-/* Forgets an order without an answer that was not carried out so far. */
+/* Drops an unanswered order that was not carried out and adopts the reported state. */
 void Dispatcher::GiveUpOrder(TimePoint aNow,
                              ManagedRunner& aRunner,
                              const RunnerReport& aReport,
@@ -494,7 +509,8 @@
   AdoptHoldings(aNow, aRunner, aReport.holdings);
 }
 
-/* Returns the loads from the weight store that are under way or planned. */
+/* Returns the number of runners that load a model from the weight store or have such a load
+ * planned. */
 std::size_t Dispatcher::StoreLoadsUnderWay() const
 {
   return static_cast<std::size_t>(
@@ -505,9 +521,9 @@
     }));
 }
 
-/* Load pattern: many cold models at once. Beyond some number of loads each takes longer in
- * proportion, so more at once only make all of them late; the number shows in how long they take.
- */
+/* Load pattern: many cold models at once. Beyond some number of concurrent loads, each takes
+ * proportionally longer, so that further loads only delay all of them. The number is estimated from
+ * how long loads take. */
 void Dispatcher::LearnStoreSpeed(const PendingOrder& aLoad, Duration aTook)
 {
   if (!aLoad.isFromStore || aLoad.expected <= Duration::zero()) {
--- a/src/decision/fleet/dispatcher_plan.cpp
+++ b/src/decision/fleet/dispatcher_plan.cpp
@@ -1,4 +1,4 @@
-/* Decides which runner holds which model. */
+/* Plans which runners load which models, and which models they unload for them. */
 #include "decision/fleet/dispatcher.h"
 
 #include <algorithm>
@@ -8,36 +8,41 @@
 
 namespace {
 
-/* Work, in runners, that one replica of a model should have at most; more makes prompts wait. */
+/* Work that one replica of a model should have at most, as a share of a runner's time. With more,
+ * prompts queue. */
 constexpr double kReplicaWork = 0.5;
-/* Time ahead for which it is weighed whether a model will be asked for. */
+/* Time ahead for which the chance of a request for a model, and the work beyond what its replicas
+ * can serve, are weighed, in seconds. */
 constexpr double kHorizonS = 8.0;
-/* Delay of callers for each request a second that loses a replica, in seconds. */
+/* Caller delay per request a second that an unloaded replica would have served, in seconds. */
 constexpr double kCrowdingCost = 0.3;
-/* What a replica beyond those needed is worth, as a part of one that is needed. */
+/* Value of a replica beyond the number needed, relative to a needed one. */
 constexpr double kSurplusValue = 0.05;
-/* Expected wait for the requests that a replica still runs, in seconds. */
+/* Expected time until the requests that a replica still runs have ended, in seconds. */
 constexpr double kDrainTimeS = 1.2;
-/* Added for a runner that has another swap ahead, in seconds. */
+/* Cost added for a runner that already has a planned swap, in seconds. */
 constexpr double kSwapTimeS = 1.3;
-/* Least worth of a further replica: its load must be earned back. */
+/* Least benefit of a planned replica, in seconds of caller delay, so that it pays for its load. */
 constexpr double kLeastBenefitS = 1.5;
-/* Part of the weight store's loads that may fill room; callers that wait come first. */
+/* Share of the concurrent weight store loads that may fill free memory. The rest stays available to
+ * models that callers wait for. */
 constexpr double kRoomPart = 0.5;
-/* Least worth of filling free room: delay of callers for each second, in seconds. */
+/* Least value of a model that fills free memory, in seconds of caller delay per second. */
 constexpr double kLeastRoomValueS = 0.02;
-/* Worth of a late answer against one in time; operators state a seventh to a half. */
+/* Value of a late answer relative to one in time. Operators state a seventh to a half. */
 constexpr double kLateValue = 0.2;
-/* Worth of a model that requests wait for: any swap is better than none. */
+/* Benefit of a model that requests wait for. It exceeds the cost of any swap. */
 constexpr double kWantedBenefitS = 1e9;
-/* Models planned for at once, and the time between two plans: each looks at all runners. */
+/* Limit of models per planning round, and the time between two rounds. Planning a model scans all
+ * runners. */
 constexpr std::size_t kPlansAtOnce = 12;
 constexpr Duration kPlanInterval = 20ms;
-/* Time for which the worth of keeping a replica is good; it follows rates over seconds. */
+/* Time for which a cached keep value is used. The value follows rates averaged over seconds, so it
+ * changes slowly. */
 constexpr Duration kValueLifetime = 50ms;
-/* Time between two looks at models whose demand outgrows their replicas. */
+/* Time between two checks for models whose demand exceeds their replicas, and for free memory. */
 constexpr Duration kCrowdedInterval = 200ms;
-/* Time after which a planned swap is given up when its runner takes no orders. */
+/* Time after which a planned swap whose load the runner has not accepted is cancelled. */
 constexpr Duration kSwapLimit = 15s;
 
 double SecondsOf(Duration aDuration)
@@ -45,15 +50,15 @@
   return std::chrono::duration<double>(aDuration).count();
 }
 
-/* Returns the weights of a model; one that the configuration no longer names counts as the largest.
- */
+/* Returns the size of a model's weights. A model that is no longer configured counts as the
+ * largest. */
 MemoryMb WeightsOf(const ManagedRunner& aRunner, const ModelId& aModel)
 {
   const Model* model = aRunner.engine->Find(aModel);
   return model == nullptr ? aRunner.room.largest : model->weights;
 }
 
-/* Returns the room that a runner has left for models. */
+/* Returns the memory that a runner has left for models. */
 MemoryMb FreeRoom(const ManagedRunner& aRunner)
 {
   MemoryMb room = aRunner.room.models;
@@ -63,7 +68,8 @@
   return room;
 }
 
-/* Returns how long a runner takes to load a model, from the nearest copy that it has. */
+/* Returns the time to load a model from the fastest source that the runner has: host memory, its
+ * disk, or the weight store. */
 Duration LoadTime(const ManagedRunner& aRunner, const Model& aModel)
 {
   if (aRunner.inHostMemory.contains(aModel.id)) {
@@ -81,7 +87,7 @@
     mHolders.clear();
     for (const auto& [id, runner] : mRunners) {
       for (const auto& [model, held] : runner.models) {
-        // The index belongs to this object, which owns the runners.
+        // mRunners is not const, and only non-const functions change runners through this index.
         mHolders[model].push_back(const_cast<ManagedRunner*>(&runner));
       }
     }
@@ -100,7 +106,7 @@
   return count;
 }
 
-/* Notes which models are planned for or on their way. */
+/* Counts the replicas that are planned or being loaded. */
 void Dispatcher::NoteComing()
 {
   mComing.clear();
@@ -134,7 +140,7 @@
          (!aRunner.order || aRunner.order->IsAboutAdapter()) && !mSwaps.contains(aRunner.entry.id);
 }
 
-/* Returns the delay of callers to expect when a replica goes, in seconds. */
+/* Returns the caller delay to expect if a replica is unloaded, in seconds. The result is cached. */
 double Dispatcher::KeepValue(TimePoint aNow,
                              const ManagedRunner& aRunner,
                              const ModelId& aModel,
@@ -154,7 +160,7 @@
 {
   const Model* model = aRunner.engine->Find(aModel);
   if (model == nullptr) {
-    return 0.0; // Nobody may ask for it any more.
+    return 0.0; // The model is no longer configured, so no request can be for it.
   }
   const double rate = mDemand.Rate(aNow, aModel);
   const double needed = std::max(1.0, std::ceil(mDemand.Work(aNow, aModel) / kReplicaWork));
@@ -162,7 +168,7 @@
   const double isAsked = 1.0 - std::exp(-rate * kHorizonS);
   const double value =
     isAsked * SecondsOf(LoadTime(aRunner, *model)) + kCrowdingCost * rate / replicas;
-  // Among models that nobody asks for, the one used last stays.
+  // Among models without demand, the most recently used one is kept.
   const double age = SecondsOf(aNow - aHeld.lastUsed);
   const double recency = 1e-3 / (1.0 + std::max(age, 0.0));
   return (replicas > needed ? kSurplusValue * value : value) + recency;
@@ -210,14 +216,15 @@
   return room >= aModel.weights ? std::optional{ std::move(swap) } : std::nullopt;
 }
 
-/* Takes a swap into the plans. */
+/* Adds a planned swap and marks its victims as leaving. */
 void Dispatcher::AddSwap(Swap aSwap, std::string_view aWhy)
 {
   ManagedRunner& runner = mRunners[aSwap.runner];
   for (const ModelId& victim : aSwap.victims) {
     runner.models[victim].isLeaving = true;
     for (const ManagedRunner* holder : Holders(victim)) {
-      holder->models.at(victim).keepValueAt = {}; // Worth more with one replica less.
+      // With one replica less, the others are worth more, so their cached values are dropped.
+      holder->models.at(victim).keepValueAt = {};
     }
   }
   Note({ .event = "swap_planned",
@@ -250,16 +257,16 @@
   }
 }
 
-/* Returns what it is worth to bring a request's model now: an answer within the objective is worth
- * several late ones, and who has waited too long for it gains little. */
+/* Returns the value of loading a request's model now. An answer within the objective is worth
+ * several late ones, so a request that has already waited too long counts less. */
 double Dispatcher::ValueOf(TimePoint aNow, const Waiting& aWaiting, Duration aLoadTime) const
 {
   const bool isInTime = aNow + aLoadTime <= aWaiting.askedAt + aWaiting.ask.objective;
   return isInTime ? 1.0 : kLateValue;
 }
 
-/* Load pattern: many rare models, each asked for now and then. A waiting request is worth a swap
- * wherever that delays other callers least. */
+/* Load pattern: many rarely used models. For a model that requests wait for, a swap is planned at
+ * the runner where it delays other callers least. */
 void Dispatcher::PlanMissing(TimePoint aNow)
 {
   const bool isAnyFree = std::any_of(
@@ -286,7 +293,7 @@
   std::stable_sort(ordered.begin(), ordered.end(), [](const auto& aLeft, const auto& aRight) {
     return aLeft.first > aRight.first;
   });
-  // Each plan looks at all runners; what is left is planned in the next ticks.
+  // Planning a model scans all runners. Models beyond the limit are planned in the next rounds.
   std::size_t planned = 0;
   for (const auto& [value, key] : ordered) {
     if (++planned > kPlansAtOnce) {
@@ -297,7 +304,7 @@
   }
 }
 
-/* Load pattern: demand for few models that outgrows their replicas, or moves to others. */
+/* Load pattern: demand for a few models exceeds their replicas, or moves to other models. */
 void Dispatcher::PlanCrowded(TimePoint aNow)
 {
   if (!mConfiguration) {
@@ -311,9 +318,9 @@
     for (const auto& [serviceId, service] : mConfiguration->services) {
       double replicas = Replicas(serviceId, model);
       if (replicas == 0.0) {
-        continue; // Requests for it wait; PlanMissing() sees to that.
+        continue; // PlanMissing() plans for models without a replica.
       }
-      // A jump needs several replicas at once: one after the other would take a second each.
+      // A sudden rise needs several replicas at once. One after the other would take a second each.
       replicas += Coming(serviceId, model);
       while (work > kReplicaWork * replicas) {
         const double benefit = (work / replicas - kReplicaWork) * kHorizonS + kLeastBenefitS;
@@ -335,9 +342,10 @@
   });
 }
 
-/* Load pattern: runners are replaced one after the other, and the new ones hold nothing and have no
- * copies. Free room costs nobody anything, so it is filled before callers wait: with what is asked
- * for most, where a miss would cost most. */
+/* Load pattern: runners are replaced one after the other, and new ones hold no models and no
+ * copies. Filling free memory unloads nothing, so models are loaded there before callers wait for
+ * them. The model with the highest request rate times load time comes first, with less weight for
+ * each replica that it already has. */
 void Dispatcher::PlanRoom(TimePoint aNow)
 {
   for (auto& [id, runner] : mRunners) {
@@ -408,7 +416,8 @@
       best = std::move(swap);
     }
   }
-  // When the best runner is still busy, waiting for it is better than going elsewhere.
+  // If the best runner is still busy, no swap is planned: waiting for it costs less than a swap at
+  // another runner.
   if (!best || best->cost > aBenefit || SwapAt(best->runner) != nullptr) {
     return false;
   }
@@ -427,7 +436,8 @@
   std::erase_if(mSwaps, [&](const auto& aItem) { return FollowSwap(aNow, aItem.second); });
 }
 
-/* Takes a swap one step further; returns whether it needs no more attention. */
+/* Sends the next order of a swap when the runner can take it. Returns whether the swap is finished
+ * or cancelled. */
 bool Dispatcher::FollowSwap(TimePoint aNow, const Swap& aSwap)
 {
   const auto found = mRunners.find(aSwap.runner);
@@ -447,7 +457,7 @@
     }
     return true;
   }
-  // The model whose unload was accepted counts as gone for the next order only.
+  // For the load that follows an accepted unload, the unloaded model already counts as gone.
   const bool isAfterUnload = MayLoadAfterUnload(aNow, runner);
   const ModelId going = isAfterUnload ? runner.order->order.subject.model : ModelId{};
   if (!isAfterUnload && !MayOrderTo(aNow, runner)) {
@@ -473,7 +483,8 @@
   if (hasVictims) {
     return false;
   }
-  // Checked again: what the runner holds may have changed since the swap was planned.
+  // The runner's holdings may have changed since the swap was planned, so the model may no longer
+  // fit.
   const Model* model = runner.engine == nullptr ? nullptr : runner.engine->Find(aSwap.model);
   if (model == nullptr) {
     return true;
