--- a/src/decision/fleet/dispatch_estimate.h
+++ b/src/decision/fleet/dispatch_estimate.h
@@ -11,33 +11,33 @@
 
 /* Prompt tokens that a runner processes per millisecond while it also generates tokens for other
  * requests. The operators state 19 for a runner that does nothing else. */
-constexpr double kReadingRate = 15.0;
+constexpr double kPromptTokensPerMs = 15.0;
 /* Runner time per output token when about twenty requests share each decoding step. */
-constexpr Duration kTokenTime = 450us;
+constexpr Duration kTimePerOutputToken = 450us;
 /* Delay of a request's first token for each request that the runner already runs. */
-constexpr Duration kBatchDelay = 1ms;
+constexpr Duration kDelayPerRunningRequest = 1ms;
 /* Time to load an adapter from the weight store. The operators state 6 to 19 ms. */
 constexpr Duration kAdapterLoadTime = 22ms;
 /* Penalty for a runner in another zone than the requesting daemon: a round trip, and the price of
  * the bytes between zones expressed as a delay. */
-constexpr Duration kZoneDelay = 8ms;
+constexpr Duration kCrossZonePenalty = 8ms;
 
 /* Returns the time to process prompt tokens that the runner does not have in its prompt cache. */
-inline Duration ReadingTime(std::uint32_t aTokens)
+inline Duration PromptProcessingTime(std::uint32_t aTokens)
 {
-  return Duration{ static_cast<Duration::rep>(aTokens / kReadingRate * 1e3) };
+  return Duration{ static_cast<Duration::rep>(aTokens / kPromptTokensPerMs * 1e3) };
 }
 
-inline Duration ScaleBy(Duration aTime, double aFactor)
+inline Duration ScaleDuration(Duration aTime, double aFactor)
 {
   return Duration{ static_cast<Duration::rep>(static_cast<double>(aTime.count()) * aFactor) };
 }
 
 /* Returns the runner time that a request uses: its whole prompt, and its output at the maximum
  * length. */
-inline Duration EstimateWork(const ModelWork& aWork)
+inline Duration EstimateRunnerTime(const ModelWork& aWork)
 {
-  return ReadingTime(aWork.promptTokens) + aWork.outputTokens * kTokenTime;
+  return PromptProcessingTime(aWork.promptTokens) + aWork.outputTokens * kTimePerOutputToken;
 }
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -14,9 +14,9 @@
 constexpr Duration kIdleInterval = 500ms;
 /* Delay of the report request after a runner refused a request. Reports lag behind the runner's
  * state. One requested after this time shows the state at the refusal or later. */
-constexpr Duration kDoubtTime = 150ms;
+constexpr Duration kRefusalReportDelay = 150ms;
 
-EndpointSign SignOf(PlaceEnd aEnd)
+EndpointSign HealthSignOf(PlaceEnd aEnd)
 {
   switch (aEnd) {
     case PlaceEnd::kDone:
@@ -37,10 +37,10 @@
 void Dispatcher::SetConfiguration(std::shared_ptr<const FleetConfiguration> aConfiguration)
 {
   mConfiguration = std::move(aConfiguration);
-  mRooms.clear();
+  mWeightMemories.clear();
   for (const auto& [id, service] : mConfiguration->services) {
     if (service.engine) {
-      mRooms.emplace(id, RoomOf(*service.engine));
+      mWeightMemories.emplace(id, WeightMemoryOf(*service.engine));
     }
   }
   for (auto& [id, runner] : mRunners) {
@@ -49,46 +49,47 @@
 }
 
 /* Called once per service and configuration, since planning needs the result for every runner. */
-EngineRoom Dispatcher::RoomOf(const Engine& aEngine)
+WeightMemory Dispatcher::WeightMemoryOf(const Engine& aEngine)
 {
-  EngineRoom room{ .smallest = aEngine.weights };
+  WeightMemory memory{ .smallestModel = aEngine.weights };
   MemoryMb largestAdapter;
   for (const auto& [id, model] : aEngine.models) {
-    room.largest = std::max(room.largest, model.weights);
-    room.smallest = std::min(room.smallest, model.weights);
+    memory.largestModel = std::max(memory.largestModel, model.weights);
+    memory.smallestModel = std::min(memory.smallestModel, model.weights);
     if (model.adapters > 0) {
       largestAdapter = std::max(largestAdapter, model.adapterWeights);
     }
   }
   // Memory for a full set of the largest adapters is reserved, so that loading an adapter never
   // overcommits the runner.
-  room.models = aEngine.weights -
-                MemoryMb{ largestAdapter.value * static_cast<std::int64_t>(aEngine.adapterSlots) };
-  return room;
+  memory.availableToModels =
+    aEngine.weights -
+    MemoryMb{ largestAdapter.value * static_cast<std::int64_t>(aEngine.adapterSlots) };
+  return memory;
 }
 
 void Dispatcher::SetEngine(ManagedRunner& aRunner) const
 {
   aRunner.engine = EngineOf(aRunner.entry.service);
-  const auto room = mRooms.find(aRunner.entry.service);
-  aRunner.room = room == mRooms.end() ? EngineRoom{} : room->second;
+  const auto memory = mWeightMemories.find(aRunner.entry.service);
+  aRunner.weightMemory = memory == mWeightMemories.end() ? WeightMemory{} : memory->second;
   aRunner.cache.SetCapacity(aRunner.engine == nullptr ? 0 : aRunner.engine->cacheTokens);
 }
 
-void Dispatcher::SetOrderRight(const OrderRight& aRight)
+void Dispatcher::SetOrderRight(const OrderPermission& aPermission)
 {
-  if (aRight.fence != mRight.fence) {
+  if (aPermission.fence != mOrderPermission.fence) {
     // Another daemon may have sent orders since this daemon last held the lease.
     for (auto& [id, runner] : mRunners) {
-      runner.isVerified = false;
+      runner.areHoldingsConfirmed = false;
       runner.order.reset();
     }
-    ForgetSwaps();
+    CancelSwaps();
   }
-  mRight = aRight;
+  mOrderPermission = aPermission;
 }
 
-void Dispatcher::ForgetSwaps()
+void Dispatcher::CancelSwaps()
 {
   mSwaps.clear();
   for (auto& [id, runner] : mRunners) {
@@ -104,17 +105,17 @@
   return service != nullptr && service->engine ? &*service->engine : nullptr;
 }
 
-void Dispatcher::Wake(TimePoint aTime)
+void Dispatcher::ScheduleTick(TimePoint aTime)
 {
-  mNextWake = std::min(mNextWake, aTime);
+  mNextTickAt = std::min(mNextTickAt, aTime);
 }
 
-void Dispatcher::Reset(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry)
+void Dispatcher::ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry)
 {
   aRunner = {};
   aRunner.entry = aEntry;
   SetEngine(aRunner);
-  std::erase_if(mPlaces, [&](const auto& aItem) { return aItem.second.runner == aEntry.id; });
+  std::erase_if(mAssignments, [&](const auto& aItem) { return aItem.second.runner == aEntry.id; });
   mSwaps.erase(aEntry.id);
   AdoptHoldings(aNow, aRunner, aEntry.holdings);
 }
@@ -122,21 +123,21 @@
 void Dispatcher::OnRunner(TimePoint aNow, const RunnerEntry& aEntry)
 {
   ManagedRunner& runner = mRunners[aEntry.id];
-  const bool isOther = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
-                       runner.entry.startedAtMs != aEntry.startedAtMs ||
-                       runner.entry.service != aEntry.service;
-  if (isOther) {
-    Reset(aNow, runner, aEntry);
+  const bool isOtherRunner = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
+                             runner.entry.startedAtMs != aEntry.startedAtMs ||
+                             runner.entry.service != aEntry.service;
+  if (isOtherRunner) {
+    ResetRunner(aNow, runner, aEntry);
     return;
   }
   runner.entry = aEntry;
   runner.isGone = false;
   // An entry does not tell which orders it already reflects, so it does not replace holdings that a
   // report has confirmed. A new report is requested instead.
-  if (!runner.isVerified) {
+  if (!runner.areHoldingsConfirmed) {
     AdoptHoldings(aNow, runner, aEntry.holdings);
   } else {
-    WantReport(aNow, runner);
+    ScheduleReport(aNow, runner);
   }
 }
 
@@ -146,7 +147,7 @@
     found->second.isGone = true;
     mSwaps.erase(aRunner);
     if (found->second.inFlight == 0) {
-      mIsIndexStale = true;
+      mIsModelIndexStale = true;
       mRunners.erase(found);
     }
   }
@@ -156,7 +157,7 @@
                                ManagedRunner& aRunner,
                                const RunnerHoldings& aHoldings)
 {
-  mIsIndexStale = true;
+  mIsModelIndexStale = true;
   std::erase_if(aRunner.models, [&](const auto& aItem) {
     const bool isHeld = aHoldings.models.contains(aItem.first);
     if (!isHeld) {
@@ -188,121 +189,131 @@
   aRunner.onDisk = aHoldings.onDisk;
 }
 
-void Dispatcher::OnAsk(TimePoint aNow, const PlacementAsk& aAsk, const ZoneId& aZone)
+void Dispatcher::OnAsk(TimePoint aNow, const PlacementAsk& aRequest, const ZoneId& aZone)
 {
-  if (const auto known = mPlaces.find(aAsk.id); known != mPlaces.end()) {
+  if (const auto known = mAssignments.find(aRequest.id); known != mAssignments.end()) {
     // A repeated request is already assigned: the first reply was lost with a connection.
     mActions.emplace_back(
-      PlacementReply{ .id = aAsk.id, .answer = PlaceGranted{ known->second.runner } });
+      PlacementReply{ .id = aRequest.id, .answer = PlaceGranted{ known->second.runner } });
     return;
   }
-  const bool isKnown = std::any_of(mWaiting.begin(), mWaiting.end(), [&](const Waiting& aItem) {
-    return aItem.ask.id == aAsk.id;
-  });
-  if (isKnown) {
+  const bool isAlreadyWaiting =
+    std::any_of(mWaitingRequests.begin(), mWaitingRequests.end(), [&](const WaitingRequest& aItem) {
+      return aItem.request.id == aRequest.id;
+    });
+  if (isAlreadyWaiting) {
     return;
   }
-  const ModelId& model = aAsk.work.target.model;
+  const ModelId& model = aRequest.work.target.model;
   const double factor = mPaces.Factor(model);
-  mDemand.Note(aNow, model, ScaleBy(EstimateWork(aAsk.work), factor));
+  mDemand.Note(aNow, model, ScaleDuration(EstimateRunnerTime(aRequest.work), factor));
   // Load pattern: bursts at several hosts at once. The most urgent requests of all hosts go first.
-  const auto place = std::upper_bound(
-    mWaiting.begin(),
-    mWaiting.end(),
-    aAsk.priority,
-    [](std::uint32_t aPriority, const Waiting& aItem) { return aPriority < aItem.ask.priority; });
-  mWaiting.insert(
-    place, { .ask = aAsk, .zone = aZone, .askedAt = aNow, .deadline = aNow + aAsk.timeLeft });
+  const auto position = std::upper_bound(mWaitingRequests.begin(),
+                                         mWaitingRequests.end(),
+                                         aRequest.priority,
+                                         [](std::uint32_t aPriority, const WaitingRequest& aItem) {
+                                           return aPriority < aItem.request.priority;
+                                         });
+  mWaitingRequests.insert(position,
+                          { .request = aRequest,
+                            .zone = aZone,
+                            .receivedAt = aNow,
+                            .deadline = aNow + aRequest.timeLeft });
 }
 
 void Dispatcher::OnReleased(TimePoint aNow, const PlaceReleased& aReleased)
 {
-  std::erase_if(mWaiting, [&](const Waiting& aItem) { return aItem.ask.id == aReleased.id; });
-  const auto place = mPlaces.find(aReleased.id);
-  if (place == mPlaces.end()) {
+  std::erase_if(mWaitingRequests,
+                [&](const WaitingRequest& aItem) { return aItem.request.id == aReleased.id; });
+  const auto assignment = mAssignments.find(aReleased.id);
+  if (assignment == mAssignments.end()) {
     return;
   }
-  if (place->second.model.adapter.empty() && place->second.expected > Duration::zero()) {
-    mPaces.Note(place->second.model.model, place->second.expected, aReleased.firstEvent);
+  if (assignment->second.model.adapter.empty() &&
+      assignment->second.expectedTimeToFirstEvent > Duration::zero()) {
+    mPaces.Note(assignment->second.model.model,
+                assignment->second.expectedTimeToFirstEvent,
+                aReleased.firstEvent);
   }
-  const auto runner = mRunners.find(place->second.runner);
+  const auto runner = mRunners.find(assignment->second.runner);
   if (runner != mRunners.end()) {
-    runner->second.health.Note(aNow, SignOf(aReleased.end));
+    runner->second.health.Note(aNow, HealthSignOf(aReleased.end));
     if (aReleased.end == PlaceEnd::kRefused) {
       // The runner may not hold what is assumed. It gets no orders until a report confirms its
       // state.
-      const ModelRef target = place->second.model;
-      DoubtLoad(runner->second, target.model);
+      const ModelRef target = assignment->second.model;
+      RevokePresumedLoad(runner->second, target.model);
       const auto held = runner->second.models.find(target.model);
       if (held != runner->second.models.end() && held->second.adapters.contains(target.adapter)) {
         HeldAdapter& adapter = held->second.adapters[target.adapter];
-        adapter.readyAt = std::max(adapter.readyAt, aNow + kDoubtTime);
+        adapter.readyAt = std::max(adapter.readyAt, aNow + kRefusalReportDelay);
       }
-      runner->second.isVerified = false;
-      WantReport(aNow + kDoubtTime, runner->second);
+      runner->second.areHoldingsConfirmed = false;
+      ScheduleReport(aNow + kRefusalReportDelay, runner->second);
     }
   }
-  Free(aNow, aReleased.id);
+  ReleaseAssignment(aNow, aReleased.id);
 }
 
-void Dispatcher::OnPlaceInUse(TimePoint aNow, const PlaceInUse& aPlace)
+void Dispatcher::OnPlaceInUse(TimePoint aNow, const PlaceInUse& aAssignment)
 {
-  const auto runner = mRunners.find(aPlace.runner);
-  if (runner != mRunners.end() && !mPlaces.contains(aPlace.ask.id)) {
-    Occupy(aNow, aPlace.ask, runner->second, Duration::zero());
+  const auto runner = mRunners.find(aAssignment.runner);
+  if (runner != mRunners.end() && !mAssignments.contains(aAssignment.ask.id)) {
+    AddAssignment(aNow, aAssignment.ask, runner->second, Duration::zero());
   }
 }
 
 void Dispatcher::OnDaemonLost(const DaemonId& aDaemon)
 {
-  std::erase_if(mWaiting, [&](const Waiting& aItem) { return aItem.ask.id.daemon == aDaemon; });
-  FreePlacesOf(aDaemon);
+  std::erase_if(mWaitingRequests,
+                [&](const WaitingRequest& aItem) { return aItem.request.id.daemon == aDaemon; });
+  ReleaseAssignmentsOf(aDaemon);
 }
 
-void Dispatcher::FreePlacesOf(const std::optional<DaemonId>& aDaemon)
+void Dispatcher::ReleaseAssignmentsOf(const std::optional<DaemonId>& aDaemon)
 {
-  std::vector<AskId> places;
-  for (const auto& [id, place] : mPlaces) {
+  std::vector<AskId> requests;
+  for (const auto& [id, assignment] : mAssignments) {
     if (!aDaemon || id.daemon == *aDaemon) {
-      places.push_back(id);
+      requests.push_back(id);
     }
   }
-  for (const AskId& id : places) {
-    Free({}, id);
+  for (const AskId& id : requests) {
+    ReleaseAssignment({}, id);
   }
 }
 
 void Dispatcher::Clear()
 {
-  mWaiting.clear();
-  ForgetSwaps();
-  FreePlacesOf(std::nullopt);
+  mWaitingRequests.clear();
+  CancelSwaps();
+  ReleaseAssignmentsOf(std::nullopt);
   for (auto& [id, runner] : mRunners) {
     runner.order.reset();
-    runner.isVerified = false;
-    runner.reportAt.reset();
+    runner.areHoldingsConfirmed = false;
+    runner.nextReportAt.reset();
   }
 }
 
-void Dispatcher::Occupy(TimePoint aNow,
-                        const PlacementAsk& aAsk,
-                        ManagedRunner& aRunner,
-                        Duration aExpected)
+void Dispatcher::AddAssignment(TimePoint aNow,
+                               const PlacementAsk& aRequest,
+                               ManagedRunner& aRunner,
+                               Duration aTimeToFirstEvent)
 {
-  const ModelRef& target = aAsk.work.target;
-  const Place place{ .runner = aRunner.entry.id,
-                     .model = target,
-                     .tokens = aAsk.work.promptTokens + aAsk.work.outputTokens,
-                     .expected = aExpected };
-  mPlaces.insert_or_assign(aAsk.id, place);
+  const ModelRef& target = aRequest.work.target;
+  const Assignment assignment{ .runner = aRunner.entry.id,
+                               .model = target,
+                               .tokens = aRequest.work.promptTokens + aRequest.work.outputTokens,
+                               .expectedTimeToFirstEvent = aTimeToFirstEvent };
+  mAssignments.insert_or_assign(aRequest.id, assignment);
   ++aRunner.inFlight;
-  aRunner.tokens += place.tokens;
-  const std::uint32_t kept = aRunner.cache.KeptTokens(aAsk.work);
-  const Duration reading =
-    ReadingTime(aAsk.work.promptTokens - std::min(kept, aAsk.work.promptTokens));
-  aRunner.readingUntil =
-    std::max(aRunner.readingUntil, aNow) + ScaleBy(reading, mPaces.Factor(target.model));
-  aRunner.cache.Note(aAsk.work);
+  aRunner.tokens += assignment.tokens;
+  const std::uint32_t cachedTokens = aRunner.cache.KeptTokens(aRequest.work);
+  const Duration promptTime = PromptProcessingTime(
+    aRequest.work.promptTokens - std::min(cachedTokens, aRequest.work.promptTokens));
+  aRunner.promptsDoneAt =
+    std::max(aRunner.promptsDoneAt, aNow) + ScaleDuration(promptTime, mPaces.Factor(target.model));
+  aRunner.cache.Note(aRequest.work);
   if (const auto held = aRunner.models.find(target.model); held != aRunner.models.end()) {
     ++held->second.inFlight;
     held->second.lastUsed = aNow;
@@ -314,49 +325,50 @@
   }
 }
 
-void Dispatcher::Free(TimePoint aNow, const AskId& aAsk)
+void Dispatcher::ReleaseAssignment(TimePoint aNow, const AskId& aRequest)
 {
-  const auto found = mPlaces.find(aAsk);
-  if (found == mPlaces.end()) {
+  const auto found = mAssignments.find(aRequest);
+  if (found == mAssignments.end()) {
     return;
   }
-  const Place place = found->second;
-  mPlaces.erase(found);
-  const auto runner = mRunners.find(place.runner);
+  const Assignment assignment = found->second;
+  mAssignments.erase(found);
+  const auto runner = mRunners.find(assignment.runner);
   if (runner == mRunners.end()) {
     return;
   }
   const auto decrement = [](auto& aCount, auto aBy) { aCount -= std::min(aCount, aBy); };
   decrement(runner->second.inFlight, 1U);
-  decrement(runner->second.tokens, place.tokens);
-  const auto held = runner->second.models.find(place.model.model);
+  decrement(runner->second.tokens, assignment.tokens);
+  const auto held = runner->second.models.find(assignment.model.model);
   if (held != runner->second.models.end()) {
     decrement(held->second.inFlight, 1U);
     held->second.lastUsed = std::max(held->second.lastUsed, aNow);
-    if (const auto adapter = held->second.adapters.find(place.model.adapter);
+    if (const auto adapter = held->second.adapters.find(assignment.model.adapter);
         adapter != held->second.adapters.end()) {
       decrement(adapter->second.inFlight, 1U);
     }
   }
   if (runner->second.isGone && runner->second.inFlight == 0) {
-    mIsIndexStale = true;
+    mIsModelIndexStale = true;
     mRunners.erase(runner);
   }
 }
 
 std::vector<DispatchAction> Dispatcher::Tick(TimePoint aNow)
 {
-  NoteComing();
-  mNextWake = aNow + (mWaiting.empty() && mSwaps.empty() ? kIdleInterval : kWatchInterval);
-  while (!mStoreLoads.empty() && aNow - mStoreLoads.front() > mStoreLimits.window) {
-    mStoreLoads.pop_front();
+  CountIncomingReplicas();
+  mNextTickAt =
+    aNow + (mWaitingRequests.empty() && mSwaps.empty() ? kIdleInterval : kWatchInterval);
+  while (!mStoreLoadStarts.empty() && aNow - mStoreLoadStarts.front() > mStoreLimits.window) {
+    mStoreLoadStarts.pop_front();
   }
   PresumeLoads(aNow);
-  ServeWaiting(aNow);
-  if (mRight.mayOrder) {
-    PlanModels(aNow);
-    FollowSwaps(aNow);
-    FollowReports(aNow);
+  AssignWaitingRequests(aNow);
+  if (mOrderPermission.mayOrder) {
+    RunPlanningRound(aNow);
+    AdvanceSwaps(aNow);
+    RequestDueReports(aNow);
   }
   return std::exchange(mActions, {});
 }
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -47,9 +47,8 @@
 
 using DispatchAction = std::variant<PlacementReply, RunnerOrder, ReportWanted, DispatchNote>;
 
-/* Whether this daemon may send orders now, and the holder name and fencing token to send with them.
- */
-struct OrderRight
+/* Whether this daemon may send orders now, and with which holder name and fencing token. */
+struct OrderPermission
 {
   bool mayOrder = false;
   std::string holder;
@@ -74,9 +73,9 @@
   TimePoint lastUsed{};
   std::uint32_t inFlight = 0;
   bool isLeaving = false; ///< Will be unloaded for a planned swap. Gets no more requests.
-  /* Cached result of KeepValue(), in seconds, and when it was computed. */
-  mutable double keepValue = 0.0;
-  mutable TimePoint keepValueAt{};
+  /* Cached result of RetentionValue(), in seconds, and when it was computed. */
+  mutable double retentionValue = 0.0;
+  mutable TimePoint retentionValueAt{};
 };
 
 /* An order that was sent to a runner and is not known to be carried out yet. */
@@ -84,23 +83,24 @@
 {
   enum class Phase : std::uint8_t
   {
-    kSent,     ///< The runner has not answered yet.
-    kAccepted, ///< The runner accepted the order and carries it out.
-    kUnsure,   ///< The answer was lost. The runner may carry the order out, now or later.
+    kSent,       ///< The runner has not answered yet.
+    kAccepted,   ///< The runner accepted the order and carries it out.
+    kUnanswered, ///< The answer was lost. The runner may carry the order out, now or later.
   };
 
   RunnerOrder order;
   Phase phase = Phase::kSent;
   TimePoint sentAt{};
-  TimePoint expectedAt{}; ///< When the order should be carried out.
-  Duration expected{};    ///< Duration when the weight store is not slowed by other loads.
-  Duration longest{};     ///< Duration if the copy in host memory is gone and the disk is read.
+  TimePoint expectedDoneAt{};  ///< When the order should be carried out.
+  Duration expectedDuration{}; ///< Duration when the weight store is not slowed by other loads.
+  /* Duration of a model load if the copy in host memory is gone and the disk is read instead. */
+  Duration durationWithoutMemoryCopy{};
   bool isFromStore = false;
-  std::size_t besides = 0; ///< Other weight store loads in progress or planned when it was sent.
-  /* Set for a load that was sent while the accepted unload of this model was not yet known to be
-   * done. A runner carries out one order at a time, so when it accepts the load the unload is done.
-   */
-  std::optional<ModelId> after;
+  /* Other weight store loads in progress or planned when the order was sent. */
+  std::size_t otherStoreLoads = 0;
+  /* Set for a load that was sent while the accepted unload of this model was not known to be done.
+   * A runner carries out one order at a time, so the unload is done when it accepts the load. */
+  std::optional<ModelId> precedingUnload;
   /* Time from which a load counts as done even if no report has shown it yet. */
   std::optional<TimePoint> presumedDoneAt;
   bool isPresumedDone = false;
@@ -110,11 +110,11 @@
 
 /* How the weight memory of each runner of a service is divided, and the sizes of the service's
  * models. */
-struct EngineRoom
+struct WeightMemory
 {
-  MemoryMb models;   ///< Memory for models: all weight memory but the part reserved for adapters.
-  MemoryMb largest;  ///< Weights of the largest model, also assumed for models not configured.
-  MemoryMb smallest; ///< Weights of the smallest model.
+  MemoryMb availableToModels; ///< All weight memory but the part reserved for adapters.
+  MemoryMb largestModel;  ///< Weights of the largest model, also assumed for models not configured.
+  MemoryMb smallestModel; ///< Weights of the smallest model.
 };
 
 /* The state of a runner as the dispatcher assumes it from entries, reports and its own orders. */
@@ -122,24 +122,24 @@
 {
   RunnerEntry entry;
   const Engine* engine = nullptr; ///< Engine of the runner's service. Null for plain services.
-  EngineRoom room;
+  WeightMemory weightMemory;
   bool isGone = false; ///< The entry was removed, but requests are still in flight.
   /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by a
    * new fencing token, a restart of the runner, a refused request, and a report that the runner
    * carries out an order that is not pending here. */
-  bool isVerified = false;
+  bool areHoldingsConfirmed = false;
   std::map<ModelId, HeldModel> models;
   std::set<ModelId> inHostMemory;
   std::set<ModelId> onDisk;
   std::uint64_t orderCount = 0;
   std::optional<PendingOrder> order;
-  TimePoint nextOrder{};             ///< No order is sent before this time.
-  TimePoint lastOrderAt{};           ///< When an order was last accepted or its answer was lost.
-  std::optional<TimePoint> reportAt; ///< When to fetch the next report.
-  bool isReportUnderWay = false;
+  TimePoint ordersPausedUntil{}; ///< No order is sent before this time.
+  TimePoint lastOrderAt{};       ///< When an order was last accepted or its answer was lost.
+  std::optional<TimePoint> nextReportAt; ///< When to fetch the next report.
+  bool isReportRequested = false;
   std::uint32_t inFlight = 0;
-  std::uint64_t tokens = 0; ///< Upper bound for the tokens of the requests in flight.
-  TimePoint readingUntil{}; ///< When all prompts sent so far are expected to be processed.
+  std::uint64_t tokens = 0;  ///< Upper bound for the tokens of the requests in flight.
+  TimePoint promptsDoneAt{}; ///< When all prompts sent so far are expected to be processed.
   PromptCache cache;
   EndpointHealth health;
 };
@@ -148,13 +148,13 @@
 {
 public:
   void SetConfiguration(std::shared_ptr<const FleetConfiguration> aConfiguration);
-  void SetOrderRight(const OrderRight& aRight);
+  void SetOrderRight(const OrderPermission& aPermission);
 
   void OnRunner(TimePoint aNow, const RunnerEntry& aEntry);
   void OnRunnerGone(const EndpointId& aRunner);
-  void OnAsk(TimePoint aNow, const PlacementAsk& aAsk, const ZoneId& aZone);
+  void OnAsk(TimePoint aNow, const PlacementAsk& aRequest, const ZoneId& aZone);
   void OnReleased(TimePoint aNow, const PlaceReleased& aReleased);
-  void OnPlaceInUse(TimePoint aNow, const PlaceInUse& aPlace);
+  void OnPlaceInUse(TimePoint aNow, const PlaceInUse& aAssignment);
   /* Drops the placement requests of a daemon that is gone and releases its assignments. */
   void OnDaemonLost(const DaemonId& aDaemon);
   /* Drops requests, assignments, swaps and pending orders when this daemon stops being the
@@ -168,10 +168,10 @@
    * carry out. */
   std::vector<DispatchAction> Tick(TimePoint aNow);
   /* When to call Tick() next if no event arrives before. */
-  TimePoint nextWake() const { return mNextWake; }
+  TimePoint nextWake() const { return mNextTickAt; }
 
-  std::size_t waiting() const { return mWaiting.size(); }
-  std::size_t placesInUse() const { return mPlaces.size(); }
+  std::size_t waiting() const { return mWaitingRequests.size(); }
+  std::size_t placesInUse() const { return mAssignments.size(); }
   const std::map<EndpointId, ManagedRunner>& runners() const { return mRunners; }
 
   /* Limits on loads from the weight store. */
@@ -183,22 +183,21 @@
   void SetStoreLimits(const StoreLimits& aLimits) { mStoreLimits = aLimits; }
 
 private:
-  struct Waiting
+  struct WaitingRequest
   {
-    PlacementAsk ask;
+    PlacementAsk request;
     ZoneId zone;
-    TimePoint askedAt{};
+    TimePoint receivedAt{};
     TimePoint deadline{};
   };
 
   /* A request that runs at a runner. */
-  struct Place
+  struct Assignment
   {
     EndpointId runner;
     ModelRef model;
     std::uint64_t tokens = 0;
-    Duration
-      expected{}; ///< Expected time to the first event. 0 if this dispatcher did not assign it.
+    Duration expectedTimeToFirstEvent{}; ///< 0 if this dispatcher did not assign the request.
   };
 
   /* A planned load of a model at a runner, and the models to unload for it, if any. */
@@ -217,41 +216,49 @@
   /* Expected durations of an order and the reason for it. PendingOrder explains the durations. */
   struct OrderDetails
   {
-    Duration expected{};
-    Duration longest{};
+    Duration expectedDuration{};
+    Duration durationWithoutMemoryCopy{};
     bool isFromStore = false;
     std::string_view why;
   };
 
   // dispatcher.cpp
-  void Wake(TimePoint aTime);
-  void Note(DispatchNote aNote) { mActions.emplace_back(std::move(aNote)); }
-  void Reset(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry);
+  void ScheduleTick(TimePoint aTime);
+  void LogDecision(DispatchNote aNote) { mActions.emplace_back(std::move(aNote)); }
+  void ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry);
   void AdoptHoldings(TimePoint aNow, ManagedRunner& aRunner, const RunnerHoldings& aHoldings);
-  void Occupy(TimePoint aNow, const PlacementAsk& aAsk, ManagedRunner& aRunner, Duration aExpected);
-  void Free(TimePoint aNow, const AskId& aAsk);
+  void AddAssignment(TimePoint aNow,
+                     const PlacementAsk& aRequest,
+                     ManagedRunner& aRunner,
+                     Duration aTimeToFirstEvent);
+  void ReleaseAssignment(TimePoint aNow, const AskId& aRequest);
   /* Releases the assignments of a daemon, or of all daemons if none is given. */
-  void FreePlacesOf(const std::optional<DaemonId>& aDaemon);
-  void ForgetSwaps();
+  void ReleaseAssignmentsOf(const std::optional<DaemonId>& aDaemon);
+  void CancelSwaps();
   const Engine* EngineOf(const ServiceId& aService) const;
-  static EngineRoom RoomOf(const Engine& aEngine);
+  static WeightMemory WeightMemoryOf(const Engine& aEngine);
   void SetEngine(ManagedRunner& aRunner) const;
 
-  // dispatcher_grant.cpp
-  void ServeWaiting(TimePoint aNow);
+  // dispatcher_assign.cpp
+  void AssignWaitingRequests(TimePoint aNow);
   /* Tries to assign a request. Returns whether it was answered and need not wait any longer. */
-  bool Serve(TimePoint aNow, const Waiting& aWaiting);
+  bool TryToAssign(TimePoint aNow, const WaitingRequest& aWaiting);
   bool IsUsable(const ManagedRunner& aRunner) const;
-  /* Returns the expected time to the first event, or nothing if the runner cannot take the request.
-   */
-  std::optional<Duration> EstimateStart(TimePoint aNow,
-                                        const ManagedRunner& aRunner,
-                                        const Waiting& aWaiting) const;
-  void Refuse(TimePoint aNow, const Waiting& aWaiting, ResultCode aCode, std::string_view aWhy);
-  void Grant(TimePoint aNow, const Waiting& aWaiting, ManagedRunner& aRunner, Duration aExpected);
+  /* Returns the expected time to the first event, or nothing if the runner cannot serve now. */
+  std::optional<Duration> EstimateTimeToFirstEvent(TimePoint aNow,
+                                                   const ManagedRunner& aRunner,
+                                                   const WaitingRequest& aWaiting) const;
+  void Refuse(TimePoint aNow,
+              const WaitingRequest& aWaiting,
+              ResultCode aCode,
+              std::string_view aWhy);
+  void Assign(TimePoint aNow,
+              const WaitingRequest& aWaiting,
+              ManagedRunner& aRunner,
+              Duration aTimeToFirstEvent);
 
   // dispatcher_plan.cpp
-  void PlanModels(TimePoint aNow);
+  void RunPlanningRound(TimePoint aNow);
   /* Plans a replica at the runner where it costs least, unless it costs more than the benefit.
    * Returns whether a swap was planned. */
   bool PlanSwap(TimePoint aNow,
@@ -261,94 +268,93 @@
                 std::string_view aWhy);
   /* Returns whether a swap can be planned at the runner: it is ready, its holdings are confirmed,
    * no other swap is planned and no model order is pending. */
-  bool IsFree(const ManagedRunner& aRunner) const;
+  bool CanPlanSwap(const ManagedRunner& aRunner) const;
   /* Returns a swap that loads the model at this runner by unloading the models of least value, or
    * nothing if the model does not fit. */
   std::optional<Swap> FindSwap(TimePoint aNow,
                                const ManagedRunner& aRunner,
                                const Model& aModel) const;
-  double KeepValue(TimePoint aNow,
-                   const ManagedRunner& aRunner,
-                   const ModelId& aModel,
-                   const HeldModel& aHeld) const;
-  double WorkOutKeepValue(TimePoint aNow,
-                          const ManagedRunner& aRunner,
-                          const ModelId& aModel,
-                          const HeldModel& aHeld) const;
+  double RetentionValue(TimePoint aNow,
+                        const ManagedRunner& aRunner,
+                        const ModelId& aModel,
+                        const HeldModel& aHeld) const;
+  double ComputeRetentionValue(TimePoint aNow,
+                               const ManagedRunner& aRunner,
+                               const ModelId& aModel,
+                               const HeldModel& aHeld) const;
   void AddSwap(Swap aSwap, std::string_view aWhy);
   /* Returns how many ready runners of the service hold the model and will not unload it. */
-  std::uint32_t Replicas(const ServiceId& aService, const ModelId& aModel) const;
+  std::uint32_t CountReplicas(const ServiceId& aService, const ModelId& aModel) const;
   /* Returns the runners of all services that hold a model. */
-  const std::vector<ManagedRunner*>& Holders(const ModelId& aModel) const;
-  void PlanMissing(TimePoint aNow);
-  double ValueOf(TimePoint aNow, const Waiting& aWaiting, Duration aLoadTime) const;
-  void PlanCrowded(TimePoint aNow);
-  void PlanRoom(TimePoint aNow);
-  std::optional<ModelId> BestForRoom(TimePoint aNow, const ManagedRunner& aRunner) const;
+  const std::vector<ManagedRunner*>& RunnersWithModel(const ModelId& aModel) const;
+  void PlanMissingModels(TimePoint aNow);
+  double RequestValue(TimePoint aNow, const WaitingRequest& aWaiting, Duration aLoadTime) const;
+  void PlanOverloadedModels(TimePoint aNow);
+  void FillFreeMemory(TimePoint aNow);
+  std::optional<ModelId> BestModelForFreeMemory(TimePoint aNow, const ManagedRunner& aRunner) const;
   /* Returns whether a runner of the service has a copy of the model on disk or in host memory. */
-  bool HasCopy(const ServiceId& aService, const ModelId& aModel) const;
-  void NoteComing();
-  /* Returns how many replicas of the model are planned or being loaded at runners of the service.
-   */
-  std::uint32_t Coming(const ServiceId& aService, const ModelId& aModel) const;
+  bool HasLocalCopy(const ServiceId& aService, const ModelId& aModel) const;
+  void CountIncomingReplicas();
+  /* Returns how many replicas of the model the service has planned or is loading. */
+  std::uint32_t IncomingReplicas(const ServiceId& aService, const ModelId& aModel) const;
   /* Returns the swap planned for a runner, or null. */
-  const Swap* SwapAt(const EndpointId& aRunner) const;
-  void FollowSwaps(TimePoint aNow);
-  bool FollowSwap(TimePoint aNow, const Swap& aSwap);
+  const Swap* PlannedSwap(const EndpointId& aRunner) const;
+  void AdvanceSwaps(TimePoint aNow);
+  bool AdvanceSwap(TimePoint aNow, const Swap& aSwap);
 
   // dispatcher_order.cpp
-  void PlanAdapter(TimePoint aNow, const ModelRef& aAdapter, ManagedRunner& aRunner);
-  bool IsOrderable(TimePoint aNow, const ManagedRunner& aRunner) const;
-  bool MayOrderTo(TimePoint aNow, const ManagedRunner& aRunner) const;
-  std::size_t ArrivingAdapters(TimePoint aNow) const;
-  static bool HasArrivingAdapter(TimePoint aNow, const HeldModel& aModel);
+  void OrderAdapter(TimePoint aNow, const ModelRef& aAdapter, ManagedRunner& aRunner);
+  bool MayReceiveOrders(TimePoint aNow, const ManagedRunner& aRunner) const;
+  bool MayReceiveNewOrder(TimePoint aNow, const ManagedRunner& aRunner) const;
+  std::size_t CountAdapterLoads(TimePoint aNow) const;
+  static bool HasAdapterLoad(TimePoint aNow, const HeldModel& aModel);
   bool MayLoadAfterUnload(TimePoint aNow, const ManagedRunner& aRunner) const;
-  void OnConflict(TimePoint aNow, ManagedRunner& aRunner);
+  void OnOrderNotTaken(TimePoint aNow, ManagedRunner& aRunner);
   void SendOrder(TimePoint aNow,
                  ManagedRunner& aRunner,
                  OrderKind aKind,
                  const ModelRef& aSubject,
                  const OrderDetails& aDetails);
   void OnAccepted(TimePoint aNow, ManagedRunner& aRunner);
-  void OnHeld(TimePoint aNow, ManagedRunner& aRunner);
+  void OnAlreadyInEffect(TimePoint aNow, ManagedRunner& aRunner);
   void DropOrder(ManagedRunner& aRunner);
   void FinishOrder(TimePoint aNow, ManagedRunner& aRunner);
   void PresumeLoads(TimePoint aNow);
-  void DoubtLoad(ManagedRunner& aRunner, const ModelId& aModel);
-  void FollowReports(TimePoint aNow);
-  void WantReport(TimePoint aAt, ManagedRunner& aRunner);
-  void SettleByReport(TimePoint aNow, ManagedRunner& aRunner, const RunnerReport& aReport);
-  void GiveUpOrder(TimePoint aNow,
-                   ManagedRunner& aRunner,
-                   const RunnerReport& aReport,
-                   std::string_view aWhy);
+  void RevokePresumedLoad(ManagedRunner& aRunner, const ModelId& aModel);
+  void RequestDueReports(TimePoint aNow);
+  void ScheduleReport(TimePoint aAt, ManagedRunner& aRunner);
+  void ResolveOrderByReport(TimePoint aNow, ManagedRunner& aRunner, const RunnerReport& aReport);
+  void AbandonOrder(TimePoint aNow,
+                    ManagedRunner& aRunner,
+                    const RunnerReport& aReport,
+                    std::string_view aWhy);
   bool MayLoadFromStore(TimePoint aNow, const Engine& aEngine) const;
-  std::size_t StoreLoadsUnderWay() const;
-  void LearnStoreSpeed(const PendingOrder& aLoad, Duration aTook);
+  std::size_t CountStoreLoads() const;
+  void AdjustStoreConcurrency(const PendingOrder& aLoad, Duration aTook);
 
   std::shared_ptr<const FleetConfiguration> mConfiguration;
-  OrderRight mRight;
-  std::map<ServiceId, EngineRoom> mRooms;
+  OrderPermission mOrderPermission;
+  std::map<ServiceId, WeightMemory> mWeightMemories;
   std::map<EndpointId, ManagedRunner> mRunners;
-  /* Runners by the models that they hold. Holders() rebuilds the index after a change. */
-  mutable std::unordered_map<ModelId, std::vector<ManagedRunner*>> mHolders;
-  mutable bool mIsIndexStale = true;
-  std::deque<Waiting> mWaiting; ///< By priority, the most urgent first, and then by arrival.
-  TimePoint mNextPlan{};
-  TimePoint mNextCrowdedCheck{};
+  /* Runners by the models that they hold. RunnersWithModel() rebuilds the index after a change. */
+  mutable std::unordered_map<ModelId, std::vector<ManagedRunner*>> mRunnersByModel;
+  mutable bool mIsModelIndexStale = true;
+  /* Ordered by priority, the most urgent first, and then by arrival. */
+  std::deque<WaitingRequest> mWaitingRequests;
+  TimePoint mNextPlanAt{};
+  TimePoint mNextOverloadCheckAt{};
   /* Replicas that are planned or being loaded. Recounted at each tick. */
-  std::map<std::pair<ServiceId, ModelId>, std::uint32_t> mComing;
-  std::map<AskId, Place> mPlaces;
+  std::map<std::pair<ServiceId, ModelId>, std::uint32_t> mIncomingReplicas;
+  std::map<AskId, Assignment> mAssignments;
   std::map<EndpointId, Swap> mSwaps; ///< By runner.
   DemandBook mDemand;
   PaceBook mPaces;
   StoreLimits mStoreLimits;
-  double mStoreLoadsAtOnce =
-    4.0; ///< Estimated number of weight store loads that run at full speed.
-  std::deque<TimePoint>
-    mStoreLoads; ///< Start times of weight store loads within the limit's window.
+  /* Estimated number of concurrent weight store loads that run at full speed. */
+  double mStoreConcurrency = 4.0;
+  std::deque<TimePoint> mStoreLoadStarts; ///< Of weight store loads within the limit's window.
   std::vector<DispatchAction> mActions;
-  TimePoint mNextWake{};
+  TimePoint mNextTickAt{};
 };
 
 } // namespace rhubarbtrail::fleet
--- /dev/null
+++ b/src/decision/fleet/dispatcher_assign.cpp
@@ -0,0 +1,189 @@
+/* Assigns waiting placement requests to runners that hold their models. */
+#include "decision/fleet/dispatch_estimate.h"
+#include "decision/fleet/dispatcher.h"
+
+#include <algorithm>
+#include <tuple>
+
+namespace rhubarbtrail::fleet {
+
+namespace {
+
+/* Share of a runner's token cache that assignments may fill. When the cache is full, the runner
+ * preempts running requests and processes their prompts again, which wastes its time. */
+constexpr double kMaxCacheFill = 0.92;
+/* Extra delay of a request whose adapter cannot be ordered at once. */
+constexpr Duration kDeferredAdapterDelay = 300ms;
+/* Least time until the deadline with which an answer can still be complete. */
+constexpr Duration kMinServiceTime = 250ms;
+/* How long a request waits for a runner while this daemon may not send orders. The order lease
+ * passes to another holder within some seconds. */
+constexpr Duration kMaxWaitWithoutOrders = 6s;
+/* Least time that a request waits for its model before it is refused because no load is planned. */
+constexpr Duration kMinWaitForModel = 1s;
+/* Retry-after time of refusals for lack of a replica. */
+constexpr Duration kRetryAfterRefusal = 1'500ms;
+
+} // namespace
+
+void Dispatcher::AssignWaitingRequests(TimePoint aNow)
+{
+  std::erase_if(mWaitingRequests,
+                [&](const WaitingRequest& aWaiting) { return TryToAssign(aNow, aWaiting); });
+}
+
+bool Dispatcher::IsUsable(const ManagedRunner& aRunner) const
+{
+  return !aRunner.isGone && aRunner.entry.state == RunnerState::kReady;
+}
+
+std::optional<Duration> Dispatcher::EstimateTimeToFirstEvent(TimePoint aNow,
+                                                             const ManagedRunner& aRunner,
+                                                             const WaitingRequest& aWaiting) const
+{
+  const PlacementAsk& request = aWaiting.request;
+  const auto held = aRunner.models.find(request.work.target.model);
+  if (held == aRunner.models.end() || held->second.isLeaving) {
+    return std::nullopt;
+  }
+  const Engine* engine = aRunner.engine;
+  const std::uint64_t tokens = request.work.promptTokens + request.work.outputTokens;
+  const bool isFull =
+    aRunner.inFlight >= aRunner.entry.slots ||
+    (aRunner.inFlight > 0 && static_cast<double>(aRunner.tokens + tokens) >
+                               kMaxCacheFill * static_cast<double>(engine->cacheTokens));
+  if (isFull) {
+    return std::nullopt;
+  }
+  const std::uint32_t cachedTokens =
+    std::min(aRunner.cache.KeptTokens(request.work), request.work.promptTokens);
+  Duration time = std::max(aRunner.promptsDoneAt - aNow, Duration::zero()) +
+                  ScaleDuration(PromptProcessingTime(request.work.promptTokens - cachedTokens),
+                                mPaces.Factor(request.work.target.model)) +
+                  aRunner.inFlight * kDelayPerRunningRequest;
+  if (aRunner.entry.zone != aWaiting.zone) {
+    time += kCrossZonePenalty;
+  }
+  if (!request.work.target.adapter.empty()) {
+    const auto adapter = held->second.adapters.find(request.work.target.adapter);
+    if (adapter != held->second.adapters.end()) {
+      time += adapter->second.isOrdered
+                ? kAdapterLoadTime
+                : std::max(adapter->second.readyAt - aNow, Duration::zero());
+    } else if (MayReceiveNewOrder(aNow, aRunner)) {
+      time += kAdapterLoadTime;
+    } else if (mOrderPermission.mayOrder) {
+      time += kDeferredAdapterDelay;
+    } else {
+      return std::nullopt;
+    }
+  }
+  return time;
+}
+
+bool Dispatcher::TryToAssign(TimePoint aNow, const WaitingRequest& aWaiting)
+{
+  const PlacementAsk& request = aWaiting.request;
+  const Engine* engine = EngineOf(request.service);
+  if (engine == nullptr || !engine->models.contains(request.work.target.model)) {
+    // The requesting daemon has another configuration, which may contain the model. It chooses a
+    // runner itself.
+    mActions.emplace_back(PlacementReply{ .id = request.id, .answer = PlaceUnknown{} });
+    return true;
+  }
+  ManagedRunner* best = nullptr;
+  std::tuple<bool, bool, Duration> bestRank;
+  for (ManagedRunner* runner : RunnersWithModel(request.work.target.model)) {
+    if (runner->entry.service != request.service || !IsUsable(*runner)) {
+      continue;
+    }
+    const auto time = EstimateTimeToFirstEvent(aNow, *runner, aWaiting);
+    if (!time) {
+      continue;
+    }
+    const bool hasFailed =
+      std::find(request.excluded.begin(), request.excluded.end(), runner->entry.id) !=
+      request.excluded.end();
+    const std::tuple rank{ hasFailed, runner->health.IsDoubted(aNow), *time };
+    if (best == nullptr || rank < bestRank) {
+      best = runner;
+      bestRank = rank;
+    }
+  }
+  if (best == nullptr) {
+    if (aWaiting.deadline - aNow < kMinServiceTime) {
+      Refuse(aNow, aWaiting, ResultCode::kDeadlineUnreachable, "no_place_before_deadline");
+      return true;
+    }
+    // Load pattern: more models requested than can be swapped in. A request that will not be served
+    // in time is refused early enough for a retry to help.
+    const Duration maxWait = std::max(request.objective * 3 / 2, kMinWaitForModel);
+    if (mOrderPermission.mayOrder && aNow - aWaiting.receivedAt > maxWait &&
+        RunnersWithModel(request.work.target.model).empty() &&
+        IncomingReplicas(request.service, request.work.target.model) == 0) {
+      Refuse(aNow, aWaiting, ResultCode::kReplicaUnavailable, "no_replica_in_time");
+      return true;
+    }
+    if (!mOrderPermission.mayOrder && aNow - aWaiting.receivedAt > kMaxWaitWithoutOrders) {
+      Refuse(aNow, aWaiting, ResultCode::kReplicaUnavailable, "no_orders_possible");
+      return true;
+    }
+    return false;
+  }
+  const ModelRef& target = request.work.target;
+  if (!target.adapter.empty()) {
+    HeldModel& held = best->models[target.model];
+    const auto adapter = held.adapters.find(target.adapter);
+    if (adapter == held.adapters.end()) {
+      OrderAdapter(aNow, target, *best);
+      return false;
+    }
+    if (adapter->second.isOrdered) {
+      return false;
+    }
+    if (adapter->second.readyAt > aNow) {
+      ScheduleTick(adapter->second.readyAt);
+      return false;
+    }
+  }
+  Assign(aNow, aWaiting, *best, std::get<Duration>(bestRank));
+  return true;
+}
+
+void Dispatcher::Assign(TimePoint aNow,
+                        const WaitingRequest& aWaiting,
+                        ManagedRunner& aRunner,
+                        Duration aTimeToFirstEvent)
+{
+  LogDecision({ .event = "place_granted",
+                .request = aWaiting.request.requestId,
+                .runner = aRunner.entry.id,
+                .model = aWaiting.request.work.target,
+                .why = aNow - aWaiting.receivedAt > kAdapterLoadTime ? "waited" : "at_once",
+                .time = aTimeToFirstEvent,
+                .count = aRunner.inFlight });
+  AddAssignment(aNow, aWaiting.request, aRunner, aTimeToFirstEvent);
+  mActions.emplace_back(
+    PlacementReply{ .id = aWaiting.request.id, .answer = PlaceGranted{ aRunner.entry.id } });
+}
+
+void Dispatcher::Refuse(TimePoint aNow,
+                        const WaitingRequest& aWaiting,
+                        ResultCode aCode,
+                        std::string_view aWhy)
+{
+  LogDecision({ .event = "place_refused",
+                .request = aWaiting.request.requestId,
+                .runner = {},
+                .model = aWaiting.request.work.target,
+                .why = aWhy,
+                .time = aNow - aWaiting.receivedAt,
+                .count = mWaitingRequests.size() });
+  const bool isEarly = aCode == ResultCode::kReplicaUnavailable;
+  mActions.emplace_back(PlacementReply{
+    .id = aWaiting.request.id,
+    .answer = PlaceRefused{ .code = aCode,
+                            .retryAfter = isEarly ? kRetryAfterRefusal : Duration::zero() } });
+}
+
+} // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/dispatcher_order.cpp
+++ b/src/decision/fleet/dispatcher_order.cpp
@@ -20,46 +20,46 @@
 constexpr Duration kReportLag = 400ms;
 /* Time past the expected end of an order after which it counts as finished even if the report does
  * not show its effect. The reported holdings then replace the assumed ones. */
-constexpr Duration kOrderLimit = 20s;
+constexpr Duration kOrderTimeout = 20s;
 /* Limit of adapter loads in progress at one runner. Runners allow four, and one load may take
  * longer than expected. */
-constexpr std::size_t kArrivingLimit = 3;
+constexpr std::size_t kMaxAdapterLoadsPerRunner = 3;
 /* Limit of adapter loads in progress at all runners together: what the weight store serves at full
  * speed at the sites whose operators allow the fewest. */
-constexpr std::size_t kArrivingAtOnce = 8;
+constexpr std::size_t kMaxAdapterLoads = 8;
 /* Time past the expected end of an adapter load during which the load still counts as in progress.
  * Each load takes longer while many run at once, and a runner limits the number in progress. */
-constexpr Duration kArrivalDoubt = 130ms;
+constexpr Duration kAdapterLoadMargin = 130ms;
 /* Margin added to the duration of a load before it counts as done without a report. The runner
- * starts the load before its answer arrives here, so the margin only covers rounding by the runner.
- */
-constexpr Duration kPresumeMargin = 20ms;
+ * starts the load before its answer arrives here, so the margin only covers its rounding. */
+constexpr Duration kPresumedDoneMargin = 20ms;
 /* A weight store load counts as slowed when it takes longer than this factor times its expected
  * duration plus the report lag. The estimate of the loads that run at full speed grows by the step
  * when a load was not slowed while at least as many ran, up to the maximum. */
-constexpr double kSlowLoad = 1.3;
-constexpr double kStoreLoadsStep = 0.25;
-constexpr double kMostStoreLoads = 16.0;
+constexpr double kSlowLoadFactor = 1.3;
+constexpr double kStoreConcurrencyStep = 0.25;
+constexpr double kMaxStoreConcurrency = 16.0;
 /* Share of the allowed load rate that is used. The weight store counts loads at slightly different
  * times than the dispatcher. */
-constexpr double kUsedLoadRate = 0.9;
+constexpr double kUsedLoadRateShare = 0.9;
 
-bool IsArriving(TimePoint aNow, const HeldAdapter& aAdapter)
+bool IsLoading(TimePoint aNow, const HeldAdapter& aAdapter)
 {
-  return aAdapter.isOrdered || aNow < aAdapter.readyAt + kArrivalDoubt;
+  return aAdapter.isOrdered || aNow < aAdapter.readyAt + kAdapterLoadMargin;
 }
 
 } // namespace
 
 /* Returns whether a runner can be sent orders, regardless of an order that may be pending. */
-bool Dispatcher::IsOrderable(TimePoint aNow, const ManagedRunner& aRunner) const
+bool Dispatcher::MayReceiveOrders(TimePoint aNow, const ManagedRunner& aRunner) const
 {
-  return mRight.mayOrder && aRunner.isVerified && aNow >= aRunner.nextOrder && IsUsable(aRunner);
+  return mOrderPermission.mayOrder && aRunner.areHoldingsConfirmed &&
+         aNow >= aRunner.ordersPausedUntil && IsUsable(aRunner);
 }
 
-bool Dispatcher::MayOrderTo(TimePoint aNow, const ManagedRunner& aRunner) const
+bool Dispatcher::MayReceiveNewOrder(TimePoint aNow, const ManagedRunner& aRunner) const
 {
-  return !aRunner.order && IsOrderable(aNow, aRunner);
+  return !aRunner.order && MayReceiveOrders(aNow, aRunner);
 }
 
 /* Returns whether a load may be sent after the runner accepted a model unload but before a report
@@ -67,7 +67,7 @@
  * runner refuses the load if the unload is still in progress. */
 bool Dispatcher::MayLoadAfterUnload(TimePoint aNow, const ManagedRunner& aRunner) const
 {
-  return IsOrderable(aNow, aRunner) && aRunner.order &&
+  return MayReceiveOrders(aNow, aRunner) && aRunner.order &&
          aRunner.order->phase == PendingOrder::Phase::kAccepted &&
          aRunner.order->order.kind == OrderKind::kUnload && !aRunner.order->IsAboutAdapter();
 }
@@ -75,45 +75,46 @@
 /* Returns whether an adapter load of the model is in progress. Such a model must not be unloaded:
  * the adapter would keep using a slot until it is loaded, and the dispatcher would no longer track
  * it. */
-bool Dispatcher::HasArrivingAdapter(TimePoint aNow, const HeldModel& aModel)
+bool Dispatcher::HasAdapterLoad(TimePoint aNow, const HeldModel& aModel)
 {
   return std::any_of(aModel.adapters.begin(), aModel.adapters.end(), [&](const auto& aItem) {
-    return IsArriving(aNow, aItem.second);
+    return IsLoading(aNow, aItem.second);
   });
 }
 
-void Dispatcher::PlanAdapter(TimePoint aNow, const ModelRef& aAdapter, ManagedRunner& aRunner)
+void Dispatcher::OrderAdapter(TimePoint aNow, const ModelRef& aAdapter, ManagedRunner& aRunner)
 {
   const Engine* engine = aRunner.engine;
-  if (!MayOrderTo(aNow, aRunner) || engine == nullptr) {
-    Wake(aNow + kConflictPause);
+  if (!MayReceiveNewOrder(aNow, aRunner) || engine == nullptr) {
+    ScheduleTick(aNow + kConflictPause);
     return;
   }
   std::size_t held = 0;
-  std::size_t arriving = 0;
+  std::size_t loading = 0;
   std::optional<std::pair<TimePoint, ModelRef>> idle;
   for (const auto& [modelId, model] : aRunner.models) {
     for (const auto& [adapterId, adapter] : model.adapters) {
       ++held;
-      const bool isArriving = IsArriving(aNow, adapter);
-      arriving += isArriving ? 1 : 0;
-      const bool isIdle = adapter.inFlight == 0 && !isArriving;
+      const bool isLoading = IsLoading(aNow, adapter);
+      loading += isLoading ? 1 : 0;
+      const bool isIdle = adapter.inFlight == 0 && !isLoading;
       if (isIdle && (!idle || adapter.lastUsed < idle->first)) {
         idle = { adapter.lastUsed, { .model = modelId, .adapter = adapterId } };
       }
     }
   }
-  if (arriving >= kArrivingLimit || ArrivingAdapters(aNow) >= kArrivingAtOnce) {
-    Wake(aNow + kAdapterLoadTime / 2);
+  if (loading >= kMaxAdapterLoadsPerRunner || CountAdapterLoads(aNow) >= kMaxAdapterLoads) {
+    ScheduleTick(aNow + kAdapterLoadTime / 2);
     return;
   }
   if (held >= engine->adapterSlots) {
     if (idle) {
-      SendOrder(aNow,
-                aRunner,
-                OrderKind::kUnload,
-                idle->second,
-                { .expected = Duration::zero(), .isFromStore = false, .why = "makes_room" });
+      SendOrder(
+        aNow,
+        aRunner,
+        OrderKind::kUnload,
+        idle->second,
+        { .expectedDuration = Duration::zero(), .isFromStore = false, .why = "makes_room" });
     }
     return;
   }
@@ -121,18 +122,18 @@
             aRunner,
             OrderKind::kLoad,
             aAdapter,
-            { .expected = kAdapterLoadTime, .isFromStore = false, .why = "asked_for" });
+            { .expectedDuration = kAdapterLoadTime, .isFromStore = false, .why = "asked_for" });
 }
 
 /* Returns the number of adapter loads in progress at all runners. */
-std::size_t Dispatcher::ArrivingAdapters(TimePoint aNow) const
+std::size_t Dispatcher::CountAdapterLoads(TimePoint aNow) const
 {
   std::size_t count = 0;
   for (const auto& [id, runner] : mRunners) {
     for (const auto& [modelId, model] : runner.models) {
       count += static_cast<std::size_t>(
         std::count_if(model.adapters.begin(), model.adapters.end(), [&](const auto& aItem) {
-          return IsArriving(aNow, aItem.second);
+          return IsLoading(aNow, aItem.second);
         }));
     }
   }
@@ -150,31 +151,31 @@
                            .kind = aKind,
                            .subject = aSubject,
                            .expectedOrderCount = aRunner.orderCount,
-                           .holder = mRight.holder,
-                           .fence = mRight.fence };
+                           .holder = mOrderPermission.holder,
+                           .fence = mOrderPermission.fence };
   PendingOrder pending{ .order = order,
                         .phase = PendingOrder::Phase::kSent,
                         .sentAt = aNow,
-                        .expectedAt = aNow + aDetails.expected,
-                        .expected = aDetails.expected,
-                        .longest = aDetails.longest,
+                        .expectedDoneAt = aNow + aDetails.expectedDuration,
+                        .expectedDuration = aDetails.expectedDuration,
+                        .durationWithoutMemoryCopy = aDetails.durationWithoutMemoryCopy,
                         .isFromStore = aDetails.isFromStore,
-                        .besides = std::max<std::size_t>(StoreLoadsUnderWay(), 1) - 1 };
+                        .otherStoreLoads = std::max<std::size_t>(CountStoreLoads(), 1) - 1 };
   if (aRunner.order) {
-    pending.after = aRunner.order->order.subject.model;
+    pending.precedingUnload = aRunner.order->order.subject.model;
   }
   aRunner.order = std::move(pending);
   if (aKind == OrderKind::kLoad && !aSubject.adapter.empty()) {
     aRunner.models[aSubject.model].adapters[aSubject.adapter] = { .isOrdered = true,
                                                                   .lastUsed = aNow };
   }
-  Note({ .event = aKind == OrderKind::kLoad ? "load_ordered" : "unload_ordered",
-         .request = {},
-         .runner = aRunner.entry.id,
-         .model = aSubject,
-         .why = aDetails.why,
-         .time = aDetails.expected,
-         .count = aRunner.orderCount });
+  LogDecision({ .event = aKind == OrderKind::kLoad ? "load_ordered" : "unload_ordered",
+                .request = {},
+                .runner = aRunner.entry.id,
+                .model = aSubject,
+                .why = aDetails.why,
+                .time = aDetails.expectedDuration,
+                .count = aRunner.orderCount });
   mActions.emplace_back(order);
 }
 
@@ -205,47 +206,47 @@
       OnAccepted(aNow, runner);
       break;
     case OrderOutcome::kHolds:
-      OnHeld(aNow, runner);
+      OnAlreadyInEffect(aNow, runner);
       break;
     case OrderOutcome::kConflict:
-      OnConflict(aNow, runner);
+      OnOrderNotTaken(aNow, runner);
       break;
     case OrderOutcome::kNotSent:
-      OnConflict(aNow, runner);
-      runner.nextOrder = aNow + kReportInterval;
+      OnOrderNotTaken(aNow, runner);
+      runner.ordersPausedUntil = aNow + kReportInterval;
       break;
     case OrderOutcome::kFenced:
     case OrderOutcome::kRejected:
-      OnConflict(aNow, runner);
-      runner.nextOrder = aNow + kRejectionPause;
+      OnOrderNotTaken(aNow, runner);
+      runner.ordersPausedUntil = aNow + kRejectionPause;
       break;
     case OrderOutcome::kUnknown:
       runner.lastOrderAt = aNow;
-      runner.order->phase = PendingOrder::Phase::kUnsure;
-      WantReport(aNow, runner);
+      runner.order->phase = PendingOrder::Phase::kUnanswered;
+      ScheduleReport(aNow, runner);
       break;
   }
 }
 
 /* The order did not take effect: it conflicted with another order, was fenced or rejected, or could
  * not be sent. */
-void Dispatcher::OnConflict(TimePoint aNow, ManagedRunner& aRunner)
+void Dispatcher::OnOrderNotTaken(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
   DropOrder(aRunner);
-  if (pending.after) {
+  if (pending.precedingUnload) {
     // The preceding unload may still be in progress: make it the pending order again.
     PendingOrder unload{ .order = pending.order,
                          .phase = PendingOrder::Phase::kAccepted,
                          .sentAt = pending.sentAt,
-                         .expectedAt = pending.sentAt };
+                         .expectedDoneAt = pending.sentAt };
     unload.order.kind = OrderKind::kUnload;
-    unload.order.subject = { .model = *pending.after, .adapter = {} };
+    unload.order.subject = { .model = *pending.precedingUnload, .adapter = {} };
     unload.order.expectedOrderCount = pending.order.expectedOrderCount - 1;
     aRunner.order = std::move(unload);
   }
-  aRunner.nextOrder = aNow + kConflictPause;
-  WantReport(aNow, aRunner);
+  aRunner.ordersPausedUntil = aNow + kConflictPause;
+  ScheduleReport(aNow, aRunner);
 }
 
 void Dispatcher::OnAccepted(TimePoint aNow, ManagedRunner& aRunner)
@@ -253,11 +254,11 @@
   PendingOrder& pending = *aRunner.order;
   ++aRunner.orderCount;
   aRunner.lastOrderAt = aNow;
-  mIsIndexStale = true;
-  if (pending.after) {
-    aRunner.models.erase(*pending.after);
-    aRunner.cache.Drop(*pending.after);
-    pending.after.reset();
+  mIsModelIndexStale = true;
+  if (pending.precedingUnload) {
+    aRunner.models.erase(*pending.precedingUnload);
+    aRunner.cache.Drop(*pending.precedingUnload);
+    pending.precedingUnload.reset();
   }
   const ModelRef subject = pending.order.subject;
   if (pending.IsAboutAdapter()) {
@@ -270,32 +271,32 @@
         // the dispatcher still use the adapter. Its slot counts as taken until a report shows it
         // gone.
         held->second.adapters[subject.adapter].isOrdered = true;
-        WantReport(aNow + kReportLag, aRunner);
+        ScheduleReport(aNow + kReportLag, aRunner);
       }
     }
     aRunner.order.reset();
     return;
   }
   if (pending.isFromStore) {
-    mStoreLoads.push_back(aNow);
+    mStoreLoadStarts.push_back(aNow);
   }
   pending.phase = PendingOrder::Phase::kAccepted;
-  pending.expectedAt = aNow + (pending.expectedAt - pending.sentAt);
+  pending.expectedDoneAt = aNow + (pending.expectedDoneAt - pending.sentAt);
   if (pending.order.kind == OrderKind::kLoad && !pending.isFromStore) {
-    pending.presumedDoneAt = aNow + pending.longest + kPresumeMargin;
-    Wake(*pending.presumedDoneAt);
+    pending.presumedDoneAt = aNow + pending.durationWithoutMemoryCopy + kPresumedDoneMargin;
+    ScheduleTick(*pending.presumedDoneAt);
   }
-  WantReport(std::max(pending.expectedAt, aNow + kReportInterval), aRunner);
+  ScheduleReport(std::max(pending.expectedDoneAt, aNow + kReportInterval), aRunner);
 }
 
 /* The runner answered that the ordered state already holds. */
-void Dispatcher::OnHeld(TimePoint aNow, ManagedRunner& aRunner)
+void Dispatcher::OnAlreadyInEffect(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
   const ModelRef subject = pending.order.subject;
   if (!pending.IsAboutAdapter()) {
     FinishOrder(aNow, aRunner);
-    WantReport(aNow + kReportInterval, aRunner);
+    ScheduleReport(aNow + kReportInterval, aRunner);
     return;
   }
   if (const auto held = aRunner.models.find(subject.model); held != aRunner.models.end()) {
@@ -314,9 +315,9 @@
 {
   const PendingOrder pending = *std::exchange(aRunner.order, std::nullopt);
   const ModelId model = pending.order.subject.model;
-  mIsIndexStale = true;
+  mIsModelIndexStale = true;
   if (pending.order.kind == OrderKind::kLoad) {
-    LearnStoreSpeed(pending, aNow - pending.sentAt);
+    AdjustStoreConcurrency(pending, aNow - pending.sentAt);
     aRunner.models[model].lastUsed = aNow;
     aRunner.inHostMemory.insert(model);
     aRunner.onDisk.insert(model);
@@ -324,13 +325,13 @@
     aRunner.models.erase(model);
     aRunner.cache.Drop(model);
   }
-  Note({ .event = "order_finished",
-         .request = {},
-         .runner = aRunner.entry.id,
-         .model = pending.order.subject,
-         .why = pending.order.kind == OrderKind::kLoad ? "loaded" : "unloaded",
-         .time = aNow - pending.sentAt,
-         .count = aRunner.orderCount });
+  LogDecision({ .event = "order_finished",
+                .request = {},
+                .runner = aRunner.entry.id,
+                .model = pending.order.subject,
+                .why = pending.order.kind == OrderKind::kLoad ? "loaded" : "unloaded",
+                .time = aNow - pending.sentAt,
+                .count = aRunner.orderCount });
 }
 
 /* Load pattern: many models swapped in from the runners' disks. Such loads take as long as
@@ -344,59 +345,58 @@
     }
     PendingOrder& pending = *runner.order;
     if (*pending.presumedDoneAt > aNow) {
-      Wake(*pending.presumedDoneAt);
+      ScheduleTick(*pending.presumedDoneAt);
       continue;
     }
     pending.isPresumedDone = true;
-    mIsIndexStale = true;
+    mIsModelIndexStale = true;
     runner.models[pending.order.subject.model].lastUsed = aNow;
-    Note({ .event = "load_presumed",
-           .request = {},
-           .runner = id,
-           .model = pending.order.subject,
-           .why = "time_passed",
-           .time = aNow - pending.sentAt,
-           .count = runner.orderCount });
+    LogDecision({ .event = "load_presumed",
+                  .request = {},
+                  .runner = id,
+                  .model = pending.order.subject,
+                  .why = "time_passed",
+                  .time = aNow - pending.sentAt,
+                  .count = runner.orderCount });
   }
 }
 
-/* Called when a runner refused a request for a model: a load of it that was presumed done is not.
- */
-void Dispatcher::DoubtLoad(ManagedRunner& aRunner, const ModelId& aModel)
+/* Called when a runner refuses a request: a load of the model that was presumed done is not. */
+void Dispatcher::RevokePresumedLoad(ManagedRunner& aRunner, const ModelId& aModel)
 {
   if (aRunner.order && aRunner.order->isPresumedDone &&
       aRunner.order->order.subject.model == aModel) {
     aRunner.order->presumedDoneAt.reset();
     aRunner.order->isPresumedDone = false;
     aRunner.models.erase(aModel);
-    mIsIndexStale = true;
+    mIsModelIndexStale = true;
   }
 }
 
-void Dispatcher::WantReport(TimePoint aAt, ManagedRunner& aRunner)
+void Dispatcher::ScheduleReport(TimePoint aAt, ManagedRunner& aRunner)
 {
-  aRunner.reportAt = aRunner.reportAt ? std::min(*aRunner.reportAt, aAt) : aAt;
-  Wake(aAt);
+  aRunner.nextReportAt = aRunner.nextReportAt ? std::min(*aRunner.nextReportAt, aAt) : aAt;
+  ScheduleTick(aAt);
 }
 
-void Dispatcher::FollowReports(TimePoint aNow)
+void Dispatcher::RequestDueReports(TimePoint aNow)
 {
   for (auto& [id, runner] : mRunners) {
     if (runner.isGone || runner.engine == nullptr) {
       continue;
     }
-    if (!runner.isVerified && !runner.reportAt) {
-      WantReport(aNow, runner);
+    if (!runner.areHoldingsConfirmed && !runner.nextReportAt) {
+      ScheduleReport(aNow, runner);
     }
-    if (!runner.reportAt || runner.isReportUnderWay) {
+    if (!runner.nextReportAt || runner.isReportRequested) {
       continue;
     }
-    if (*runner.reportAt > aNow) {
-      Wake(*runner.reportAt);
+    if (*runner.nextReportAt > aNow) {
+      ScheduleTick(*runner.nextReportAt);
       continue;
     }
-    runner.reportAt.reset();
-    runner.isReportUnderWay = true;
+    runner.nextReportAt.reset();
+    runner.isReportRequested = true;
     mActions.emplace_back(ReportWanted{ .runner = id, .address = runner.entry.address });
   }
 }
@@ -408,77 +408,80 @@
     return;
   }
   ManagedRunner& runner = found->second;
-  runner.isReportUnderWay = false;
+  runner.isReportRequested = false;
   if (aReport == nullptr) {
-    WantReport(aNow + kReportLag, runner);
+    ScheduleReport(aNow + kReportLag, runner);
     return;
   }
   if (aReport->startedAtMs < runner.entry.startedAtMs) {
-    WantReport(aNow + kReportLag, runner); // The report is from before the runner's last restart.
+    ScheduleReport(aNow + kReportLag,
+                   runner); // The report is from before the runner's last restart.
     return;
   }
   if (aReport->startedAtMs > runner.entry.startedAtMs) {
     RunnerEntry entry = runner.entry; // The runner restarted and its entry is still the old one.
     entry.startedAtMs = aReport->startedAtMs;
     entry.holdings = aReport->holdings;
-    Reset(aNow, runner, entry);
+    ResetRunner(aNow, runner, entry);
   }
   // A busy runner without a pending order may carry out a load of a former holder, or one of this
   // daemon whose answer was lost. The report does not list that model yet, so there may be less
   // free memory than it shows.
-  runner.isVerified = !aReport->isBusy || runner.order;
-  Note({ .event = "report_read",
-         .request = {},
-         .runner = aRunner,
-         .model = {},
-         .why = aReport->isBusy ? "busy" : "idle",
-         .time = aNow - runner.lastOrderAt,
-         .count = aReport->orderCount });
+  runner.areHoldingsConfirmed = !aReport->isBusy || runner.order;
+  LogDecision({ .event = "report_read",
+                .request = {},
+                .runner = aRunner,
+                .model = {},
+                .why = aReport->isBusy ? "busy" : "idle",
+                .time = aNow - runner.lastOrderAt,
+                .count = aReport->orderCount });
   if (runner.order) {
-    SettleByReport(aNow, runner, *aReport);
+    ResolveOrderByReport(aNow, runner, *aReport);
     return;
   }
   const bool mayBeOld = aNow - runner.lastOrderAt < kReportLag;
   if (aReport->orderCount < runner.orderCount && mayBeOld) {
-    WantReport(aNow + kReportInterval, runner); // The report predates the last accepted order.
+    ScheduleReport(aNow + kReportInterval, runner); // The report predates the last accepted order.
     return;
   }
   runner.orderCount = aReport->orderCount;
   AdoptHoldings(aNow, runner, aReport->holdings);
   if (aReport->isBusy) {
-    WantReport(aNow + kReportInterval, runner);
+    ScheduleReport(aNow + kReportInterval, runner);
   }
 }
 
-void Dispatcher::SettleByReport(TimePoint aNow, ManagedRunner& aRunner, const RunnerReport& aReport)
+void Dispatcher::ResolveOrderByReport(TimePoint aNow,
+                                      ManagedRunner& aRunner,
+                                      const RunnerReport& aReport)
 {
   const PendingOrder& pending = *aRunner.order;
   if (pending.phase == PendingOrder::Phase::kSent) {
     return;
   }
-  const bool isUnsure = pending.phase == PendingOrder::Phase::kUnsure;
-  const bool hasCountMoved = aReport.orderCount > pending.order.expectedOrderCount;
-  if (isUnsure && !hasCountMoved && aNow - pending.sentAt < kReportLag) {
-    WantReport(pending.sentAt + kReportLag, aRunner);
+  const bool isUnanswered = pending.phase == PendingOrder::Phase::kUnanswered;
+  const bool hasOrderCountIncreased = aReport.orderCount > pending.order.expectedOrderCount;
+  if (isUnanswered && !hasOrderCountIncreased && aNow - pending.sentAt < kReportLag) {
+    ScheduleReport(pending.sentAt + kReportLag, aRunner);
     return;
   }
-  if (isUnsure && !hasCountMoved) {
+  if (isUnanswered && !hasOrderCountIncreased) {
     // If the order still reaches the runner after the next one was accepted, its expected order
     // count is out of date and the runner refuses it.
-    GiveUpOrder(aNow, aRunner, aReport, "not_accepted");
+    AbandonOrder(aNow, aRunner, aReport, "not_accepted");
     return;
   }
   const bool isHeld = aReport.holdings.models.contains(pending.order.subject.model);
   const bool hasEffect =
     pending.IsAboutAdapter() || isHeld == (pending.order.kind == OrderKind::kLoad);
-  if (isUnsure && !aReport.isBusy && !hasEffect) {
+  if (isUnanswered && !aReport.isBusy && !hasEffect) {
     // An earlier unanswered order was carried out late and increased the count. The runner will
     // refuse this one, whose expected order count is out of date.
-    GiveUpOrder(aNow, aRunner, aReport, "overtaken");
+    AbandonOrder(aNow, aRunner, aReport, "overtaken");
     return;
   }
-  const bool isDone = !aReport.isBusy && hasCountMoved && hasEffect;
-  if (isDone || aNow - pending.expectedAt > kOrderLimit) {
+  const bool isDone = !aReport.isBusy && hasOrderCountIncreased && hasEffect;
+  if (isDone || aNow - pending.expectedDoneAt > kOrderTimeout) {
     if (pending.IsAboutAdapter()) {
       aRunner.order.reset();
     } else {
@@ -488,22 +491,22 @@
     AdoptHoldings(aNow, aRunner, aReport.holdings);
     return;
   }
-  WantReport(aNow + kReportInterval, aRunner);
+  ScheduleReport(aNow + kReportInterval, aRunner);
 }
 
 /* Drops an unanswered order that was not carried out and adopts the reported state. */
-void Dispatcher::GiveUpOrder(TimePoint aNow,
-                             ManagedRunner& aRunner,
-                             const RunnerReport& aReport,
-                             std::string_view aWhy)
+void Dispatcher::AbandonOrder(TimePoint aNow,
+                              ManagedRunner& aRunner,
+                              const RunnerReport& aReport,
+                              std::string_view aWhy)
 {
-  Note({ .event = "order_unanswered",
-         .request = {},
-         .runner = aRunner.entry.id,
-         .model = aRunner.order->order.subject,
-         .why = aWhy,
-         .time = aNow - aRunner.order->sentAt,
-         .count = aReport.orderCount });
+  LogDecision({ .event = "order_unanswered",
+                .request = {},
+                .runner = aRunner.entry.id,
+                .model = aRunner.order->order.subject,
+                .why = aWhy,
+                .time = aNow - aRunner.order->sentAt,
+                .count = aReport.orderCount });
   DropOrder(aRunner);
   aRunner.orderCount = aReport.orderCount;
   AdoptHoldings(aNow, aRunner, aReport.holdings);
@@ -511,11 +514,11 @@
 
 /* Returns the number of runners that load a model from the weight store or have such a load
  * planned. */
-std::size_t Dispatcher::StoreLoadsUnderWay() const
+std::size_t Dispatcher::CountStoreLoads() const
 {
   return static_cast<std::size_t>(
     std::count_if(mRunners.begin(), mRunners.end(), [this](const auto& aItem) {
-      const Swap* swap = SwapAt(aItem.first);
+      const Swap* swap = PlannedSwap(aItem.first);
       return (aItem.second.order && aItem.second.order->isFromStore) ||
              (swap != nullptr && swap->isFromStore);
     }));
@@ -524,31 +527,32 @@
 /* Load pattern: many cold models at once. Beyond some number of concurrent loads, each takes
  * proportionally longer, so that further loads only delay all of them. The number is estimated from
  * how long loads take. */
-void Dispatcher::LearnStoreSpeed(const PendingOrder& aLoad, Duration aTook)
+void Dispatcher::AdjustStoreConcurrency(const PendingOrder& aLoad, Duration aTook)
 {
-  if (!aLoad.isFromStore || aLoad.expected <= Duration::zero()) {
+  if (!aLoad.isFromStore || aLoad.expectedDuration <= Duration::zero()) {
     return;
   }
-  const double slowness =
-    static_cast<double>(aTook.count()) / static_cast<double>((aLoad.expected + kReportLag).count());
-  const double loads = static_cast<double>(aLoad.besides) + 1.0;
-  if (slowness > kSlowLoad) {
-    mStoreLoadsAtOnce = std::max(1.0, std::min(mStoreLoadsAtOnce, loads / slowness));
-  } else if (loads >= std::floor(mStoreLoadsAtOnce)) {
-    mStoreLoadsAtOnce = std::min(mStoreLoadsAtOnce + kStoreLoadsStep, kMostStoreLoads);
+  const double slowdown = static_cast<double>(aTook.count()) /
+                          static_cast<double>((aLoad.expectedDuration + kReportLag).count());
+  const double loads = static_cast<double>(aLoad.otherStoreLoads) + 1.0;
+  if (slowdown > kSlowLoadFactor) {
+    mStoreConcurrency = std::max(1.0, std::min(mStoreConcurrency, loads / slowdown));
+  } else if (loads >= std::floor(mStoreConcurrency)) {
+    mStoreConcurrency = std::min(mStoreConcurrency + kStoreConcurrencyStep, kMaxStoreConcurrency);
   }
 }
 
 bool Dispatcher::MayLoadFromStore(TimePoint aNow, const Engine& aEngine) const
 {
-  const auto underWay = static_cast<double>(StoreLoadsUnderWay());
-  const auto recent =
-    static_cast<double>(std::count_if(mStoreLoads.begin(), mStoreLoads.end(), [&](TimePoint aTime) {
+  const auto loadCount = static_cast<double>(CountStoreLoads());
+  const auto recent = static_cast<double>(
+    std::count_if(mStoreLoadStarts.begin(), mStoreLoadStarts.end(), [&](TimePoint aTime) {
       return aNow - aTime < mStoreLimits.window;
     }));
   const double seconds = std::chrono::duration<double>(mStoreLimits.window).count();
-  const double limit = kUsedLoadRate * mStoreLimits.overage * aEngine.loadsPerSecond * seconds;
-  return underWay + 1.0 <= std::max(mStoreLoadsAtOnce, 1.0) && recent + 1.0 <= std::max(limit, 1.0);
+  const double limit = kUsedLoadRateShare * mStoreLimits.overage * aEngine.loadsPerSecond * seconds;
+  return loadCount + 1.0 <= std::max(mStoreConcurrency, 1.0) &&
+         recent + 1.0 <= std::max(limit, 1.0);
 }
 
 } // namespace rhubarbtrail::fleet
