--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -13,7 +13,8 @@
 constexpr Duration kWatchInterval = 100ms;
 constexpr Duration kIdleInterval = 500ms;
 /* Delay of the report request after a runner refused a request. Reports lag behind the runner's
- * state. One requested after this time shows the state at the refusal or later. */
+ * state. One requested after this time shows the state at the refusal or later. Requests for the
+ * refused adapter wait as long. */
 constexpr Duration kRefusalReportDelay = 150ms;
 
 EndpointSign HealthSignOf(PlaceEnd aEnd)
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -58,7 +58,7 @@
 /* An adapter that a runner holds or is loading. */
 struct HeldAdapter
 {
-  /* A load was sent and is not accepted yet, or an unload was accepted and no report has been
+  /* A load was sent and is not accepted yet, or an unload was accepted and no holdings have been
    * adopted since. Requests for the adapter wait meanwhile. */
   bool isOrdered = false;
   TimePoint readyAt{}; ///< When the adapter is expected to be loaded.
--- a/src/decision/fleet/dispatcher_plan.cpp
+++ b/src/decision/fleet/dispatcher_plan.cpp
@@ -349,7 +349,7 @@
 /* Load pattern: runners are replaced one after the other, and new ones hold no models and no
  * copies. Filling free memory unloads nothing, so models are loaded there before callers wait for
  * them. The model with the highest request rate times load time comes first, with less weight for
- * each replica that it already has. */
+ * each replica that it already has. The reason logged for these swaps is "fills_room". */
 void Dispatcher::FillFreeMemory(TimePoint aNow)
 {
   for (auto& [id, runner] : mRunners) {
