--- a/src/decision/fleet/attempt_policy.cpp
+++ b/src/decision/fleet/attempt_policy.cpp
@@ -1,13 +1,14 @@
-/* What follows an attempt at an endpoint. */
+/* Decides whether a request is sent again after an attempt, and otherwise what the client gets. */
 #include "decision/fleet/attempt_policy.h"
 
 namespace rhubarbtrail::fleet {
 
 namespace {
 
-/* Refusals after which a request is given up: each is an arrival at an endpoint. */
+/* Number of attempts that have not run after which a request is given up. It is limited because
+ * each attempt is one more arrival at an endpoint. */
 constexpr std::uint32_t kRefusalLimit = 4;
-/* Time below which another attempt cannot bring an answer. */
+/* No attempt is made with this time left or less, because no answer could arrive in it. */
 constexpr Duration kShortestAttempt = 20ms;
 
 bool MayRunAgain(const AttemptState& aState)
--- a/src/decision/fleet/attempt_policy.h
+++ b/src/decision/fleet/attempt_policy.h
@@ -1,4 +1,5 @@
-/* What follows an attempt at an endpoint: another one, the answer, or a failure. */
+/* Decides what follows an attempt at an endpoint: another attempt, the endpoint's answer or a
+ * failure. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_ATTEMPT_POLICY_H
 #define RHUBARBTRAIL_DECISION_FLEET_ATTEMPT_POLICY_H
 
@@ -9,41 +10,45 @@
 
 namespace rhubarbtrail::fleet {
 
+/* The result of an attempt. */
 enum class AttemptEnd : std::uint8_t
 {
-  kAnswered,  ///< A whole, signed answer.
-  kFailure,   ///< A whole, signed answer with a 5xx status: it has run.
-  kNotSent,   ///< No byte can have left.
-  kNotRun,    ///< The endpoint states that it has not run it.
-  kLost,      ///< No answer, or none that counts: it may have run.
-  kCutMidway, ///< The answer broke off after a part had been passed on.
+  kAnswered,  ///< A complete answer with a valid signature.
+  kFailure,   ///< A complete answer with a valid signature and a 5xx status. The request has run.
+  kNotSent,   ///< No byte of the request was sent.
+  kNotRun,    ///< The endpoint states that it has not run the request.
+  kLost,      ///< No complete and valid answer. The request may have run.
+  kCutMidway, ///< The answer broke off or became invalid after the client got a part of it.
 };
 
 std::string_view ToString(AttemptEnd aEnd);
 
-/* A request after an attempt. */
+/* The state of a request after an attempt. */
 struct AttemptState
 {
-  std::uint32_t runs = 0;     ///< Attempts that may have run, this one included.
-  std::uint32_t refusals = 0; ///< Attempts that certainly have not run.
+  std::uint32_t runs = 0;     ///< Attempts that may have run, including the last one.
+  std::uint32_t refusals = 0; ///< Attempts that have certainly not run, including the last one.
   std::uint32_t maxAttempts = 1;
   RouteKind kind = RouteKind::kNonIdempotent;
   bool isResumable = false;
-  bool isConvicted = false; ///< It is known to crash endpoints.
+  bool isConvicted = false; ///< The request is quarantined because it crashes endpoints.
   Duration timeLeft{};
 };
 
+/* What to do with a request after an attempt. */
 enum class NextStep : std::uint8_t
 {
-  kTryAgain, ///< From its beginning, or from the event where the client's part ends.
-  kPassOn,   ///< Give the client the endpoint's answer.
-  kRefuse,   ///< Tell the client that it has not run.
-  kFail,     ///< Tell the client that it may have run.
-  kCut,      ///< Break off the answer, since a part of it was passed on.
+  kTryAgain, ///< Send the request again. A resumable stream continues after the client's last
+             ///< event.
+  kPassOn,   ///< Forward the endpoint's answer to the client.
+  kRefuse,   ///< Tell the client that the request has not run.
+  kFail,     ///< Tell the client that the request may have run.
+  kCut,      ///< Break off the answer, because the client already has a part of it.
 };
 
-/* Decides what follows. What has been sent counts as run unless the endpoint says otherwise, so
- * that nothing runs twice that must not, and a refusal is true. */
+/* Decides what follows an attempt. A request that was sent counts as run unless the endpoint states
+ * that it has not run it. So a request that must not be repeated never runs twice, and a client is
+ * told that its request has not run only if that is certain. */
 NextStep DecideNextStep(const AttemptState& aState, AttemptEnd aEnd);
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/crash_guard.cpp
+++ b/src/decision/fleet/crash_guard.cpp
@@ -1,4 +1,4 @@
-/* Recognises requests that crash the runners that run them. */
+/* Detects and quarantines requests that crash runners. */
 #include "decision/fleet/crash_guard.h"
 
 namespace rhubarbtrail::fleet {
@@ -9,7 +9,7 @@
     std::erase_if(mSuspects, [&](const auto& aItem) { return aItem.second.until < aNow; });
   }
   if (mSuspects.size() >= kSuspectLimit) {
-    return; // So many breaks have another cause than single requests.
+    return; // Crashes of so many different requests must have another cause than the requests.
   }
   Suspect& suspect = mSuspects[aRequest];
   suspect.breaks = suspect.until < aNow ? 1 : suspect.breaks + 1;
--- a/src/decision/fleet/crash_guard.h
+++ b/src/decision/fleet/crash_guard.h
@@ -1,4 +1,4 @@
-/* Recognises requests that crash the runners that run them. */
+/* Detects and quarantines requests that crash runners. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_CRASH_GUARD_H
 #define RHUBARBTRAIL_DECISION_FLEET_CRASH_GUARD_H
 
@@ -10,23 +10,26 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Time for which a broken connection counts against a request. */
+/* Time after the last crash until the crashes of a request are forgotten. */
 constexpr Duration kSuspicionTime = 60s;
-/* Broken runners in a row from which a request is refused: the most that operators accept. One or
- * two may be chance, when runners fail for other reasons. */
+/* Number of crashes in a row after which a request is quarantined. It is the largest number of
+ * crashed runners that operators accept. One or two may be chance, when runners fail for other
+ * reasons. */
 constexpr std::uint32_t kConvictionCount = 3;
-/* Requests remembered at most. */
+/* Maximum number of requests whose crashes are counted. */
 constexpr std::size_t kSuspectLimit = 4'096;
 
-/* Counts, for each request's bytes, the runners that broke off while they ran it. Daemons tell each
- * other, since such a request comes again at any of them. */
+/* Counts, by the fingerprint of a request, the runners that crashed while they ran it. Daemons send
+ * each other the crashes and answers that they see, because a client may repeat such a request at
+ * any daemon. */
 class CrashGuard
 {
 public:
-  /* Notes that a runner's process ended while it ran the request. */
+  /* Records that a runner's process ended while it ran the request. */
   void NoteBreak(TimePoint aNow, const FingerprintId& aRequest);
-  /* Notes that the request was answered, which clears it; returns whether it was a suspect. */
+  /* Records that the request was answered. Returns whether it had crashes, and forgets them. */
   bool NoteAnswer(const FingerprintId& aRequest) { return mSuspects.erase(aRequest) > 0; }
+  /* Returns whether the request is quarantined, that is, must not be sent to a runner. */
   bool IsConvicted(TimePoint aNow, const FingerprintId& aRequest) const;
 
 private:
--- a/src/decision/fleet/demand.h
+++ b/src/decision/fleet/demand.h
@@ -1,4 +1,4 @@
-/* How often each model is asked for, and how much work that is. */
+/* Tracks the rate of requests for each model and the runner time that these requests need. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
 #define RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
 
@@ -12,7 +12,7 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A moving average of events a second, with a weight each. */
+/* An exponentially decaying average of weighted events per second. */
 class DecayingRate
 {
 public:
@@ -39,12 +39,13 @@
   TimePoint mAt{};
 };
 
-/* Demand moves to other models several times in a minute. A short average follows a rise within a
- * swap or two, a long one keeps models over the gaps between their callers. */
+/* Keeps the recent demand for each model. Demand moves to other models several times a minute. A
+ * short average follows a rise within the time of one or two model swaps. A long average keeps the
+ * demand of a model up during gaps between its requests, so that the model stays loaded. */
 class DemandBook
 {
 public:
-  /* Notes a request that needs the runner for a time. */
+  /* Records a request that needs aWork of a runner's time. */
   void Note(TimePoint aNow, const ModelId& aModel, Duration aWork)
   {
     Entry& entry = mEntries[aModel];
@@ -54,14 +55,15 @@
     entry.shortWork.Add(aNow, work);
   }
 
-  /* Returns requests a second. */
+  /* Returns the requests for a model per second. */
   double Rate(TimePoint aNow, const ModelId& aModel) const
   {
     const auto found = mEntries.find(aModel);
     return found == mEntries.end() ? 0.0 : found->second.rate.Read(aNow);
   }
 
-  /* Returns the work, in runners: 1 keeps one runner busy. */
+  /* Returns the number of runners that the requests for a model keep busy: the larger of both
+   * averages. */
   double Work(TimePoint aNow, const ModelId& aModel) const
   {
     const auto found = mEntries.find(aModel);
@@ -70,7 +72,7 @@
              : std::max(found->second.longWork.Read(aNow), found->second.shortWork.Read(aNow));
   }
 
-  /* Returns the models that were asked for. */
+  /* Returns all models with a recorded request. */
   std::vector<ModelId> Models() const
   {
     std::vector<ModelId> models;
--- a/src/decision/fleet/dispatch_type.h
+++ b/src/decision/fleet/dispatch_type.h
@@ -1,4 +1,5 @@
-/* What daemons and the dispatcher tell each other about requests for models. */
+/* Messages between daemons and the dispatcher about requests for models: placement requests,
+ * replies and the state of assignments to runners. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DISPATCH_TYPE_H
 #define RHUBARBTRAIL_DECISION_FLEET_DISPATCH_TYPE_H
 
@@ -13,7 +14,7 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Names one question of one daemon. */
+/* Identifies a placement request among those of all daemons. */
 struct AskId
 {
   DaemonId daemon;
@@ -23,7 +24,7 @@
   bool operator==(const AskId&) const = default;
 };
 
-/* A request that wants a place at a runner. */
+/* A placement request: a daemon asks the dispatcher to assign a client's request to a runner. */
 struct PlacementAsk
 {
   AskId id;
@@ -32,26 +33,27 @@
   ServiceId service;
   ModelWork work;
   std::uint32_t priority = 0;
-  Duration objective{}; ///< From now to the first event, for full credit.
-  Duration timeLeft{};  ///< Until the caller gives up.
+  Duration objective{}; ///< Time from now to the first event that meets the route's latency goal.
+  Duration timeLeft{};  ///< Time from now until the client gives up.
   bool isResumable = false;
-  std::vector<EndpointId> excluded; ///< Runners that it has failed at.
+  std::vector<EndpointId> excluded; ///< Runners where an attempt failed or was refused.
 };
 
-/* Where a request may run now. */
+/* The runner to which the daemon may send the request now. */
 struct PlaceGranted
 {
   EndpointId runner;
 };
 
-/* The request will not get a place in time. */
+/* The request cannot be assigned to a runner in time. */
 struct PlaceRefused
 {
   ResultCode code = ResultCode::kReplicaUnavailable;
   Duration retryAfter{};
 };
 
-/* No dispatcher can be reached; the daemon chooses by what it knows. */
+/* There is no decision, so the daemon chooses a runner by its own data. This is the answer when the
+ * dispatcher was lost, is no longer the dispatcher, or does not know the service or the model. */
 struct PlaceUnknown
 {};
 
@@ -61,31 +63,32 @@
   std::variant<PlaceGranted, PlaceRefused, PlaceUnknown> answer;
 };
 
-/* How the use of a place ended. */
+/* Why an assignment, or the placement request before it, ended. */
 enum class PlaceEnd : std::uint8_t
 {
-  kWithdrawn, ///< The question is not asked any more.
-  kDone,
-  kRefused, ///< The runner did not take the request.
-  kFailed,  ///< The runner failed it or broke off.
-  kLost,    ///< The runner could not be reached.
+  kWithdrawn, ///< The daemon does not need the assignment any more.
+  kDone,      ///< The runner answered completely, or the client went away.
+  kRefused,   ///< The runner refused the request without running it.
+  kFailed,    ///< There was no valid answer, or the answer broke off.
+  kLost,      ///< The runner could not be reached or is no longer usable.
 };
 
+/* Ends an assignment or withdraws a placement request. */
 struct PlaceReleased
 {
   AskId id;
   PlaceEnd end = PlaceEnd::kDone;
-  Duration firstEvent{}; ///< From the request's sending to its first event; 0: there was none.
+  Duration firstEvent{}; ///< From sending the request to its first event. 0 if there was none.
 };
 
-/* A place that is in use, told to a dispatcher that does not know of it. */
+/* Tells a new dispatcher about an assignment that is already in use. */
 struct PlaceInUse
 {
   PlacementAsk ask;
   EndpointId runner;
 };
 
-/* From a daemon to the dispatcher. */
+/* A message from a daemon to the dispatcher. */
 using DispatchMessage = std::variant<PlacementAsk, PlaceReleased, PlaceInUse>;
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/endpoint_health.cpp
+++ b/src/decision/fleet/endpoint_health.cpp
@@ -1,19 +1,20 @@
-/* Belief in an endpoint, from how requests went there. */
+/* Rates an endpoint by the outcomes of the requests that were sent to it. */
 #include "decision/fleet/endpoint_health.h"
 
 namespace rhubarbtrail::fleet {
 
 namespace {
 
-/* Share of each new outcome in the moving average of failures: about five outcomes tell an
- * endpoint that fails four requests in ten from one that fails one in ten. */
+/* Weight of each new outcome in the moving average of failures. With this weight, about five
+ * outcomes distinguish an endpoint that fails 4 of 10 requests from one that fails 1 of 10. */
 constexpr double kFailureWeight = 0.2;
-/* Average of failures from which an endpoint is doubted. */
+/* An endpoint is avoided after a failure that leaves the average of failures above this value. */
 constexpr double kDoubtedShare = 0.35;
-/* First and longest time for which a doubted endpoint gets no requests. */
+/* Shortest and longest time for which an endpoint is avoided. The time doubles with each failure in
+ * a row. */
 constexpr Duration kFirstAvoidance = 500ms;
 constexpr Duration kLongestAvoidance = 4s;
-/* Time for which an endpoint is left alone after it refused a request. */
+/* Time for which an endpoint is avoided after it refused a request. */
 constexpr Duration kRefusalPause = 60ms;
 
 } // namespace
@@ -37,7 +38,8 @@
       mAvoidUntil = std::max(mAvoidUntil, aNow + kRefusalPause);
       break;
     case EndpointSign::kMisaddressed:
-      // Its entry is old; a new one clears this.
+      // The endpoint's entry is outdated. An entry with another address, start time or service
+      // resets this.
       mAvoidUntil = aNow + kLongestAvoidance;
       break;
     case EndpointSign::kCancelled:
--- a/src/decision/fleet/endpoint_health.h
+++ b/src/decision/fleet/endpoint_health.h
@@ -1,4 +1,5 @@
-/* Belief in an endpoint, from how requests went there: its own health check may be wrong. */
+/* Rates an endpoint by the outcomes of the requests that were sent to it, because the endpoint's
+ * own health check may be wrong. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_ENDPOINT_HEALTH_H
 #define RHUBARBTRAIL_DECISION_FLEET_ENDPOINT_HEALTH_H
 
@@ -9,29 +10,30 @@
 
 namespace rhubarbtrail::fleet {
 
-/* How an attempt at an endpoint went, as far as its health is concerned. */
+/* The outcome of an attempt at an endpoint, as far as it concerns the endpoint's health. */
 enum class EndpointSign : std::uint8_t
 {
-  kGood,
-  kRefused,      ///< It was full, or did not hold what was asked for.
-  kFailed,       ///< It failed the request, broke off or said nothing.
-  kMisaddressed, ///< Another endpoint has the address.
-  kCancelled,    ///< We stopped it, which says nothing.
+  kGood,         ///< It answered without a failure.
+  kRefused,      ///< It was full, or had not loaded the requested model.
+  kFailed,       ///< It answered with a failure, broke off, did not answer or could not be reached.
+  kMisaddressed, ///< Another endpoint has this address.
+  kCancelled,    ///< The daemon cancelled the attempt, so the health does not change.
 };
 
-/* An endpoint that fails a good part of its requests is left alone for a time that grows with each
- * failure in a row, and is then tried again. */
+/* A circuit breaker for one endpoint. An endpoint that fails a large share of its requests is
+ * avoided for a time that grows with each failure in a row, and then gets requests again. */
 class EndpointHealth
 {
 public:
   void Note(TimePoint aNow, EndpointSign aSign);
   void Reset() { *this = {}; }
+  /* Returns whether requests should go to other endpoints for now. */
   bool IsDoubted(TimePoint aNow) const { return aNow < mAvoidUntil; }
   double failureShare() const { return mFailureShare; }
 
 private:
   std::uint32_t mFailuresInRow = 0;
-  double mFailureShare = 0.0; ///< Moving average of attempts that failed.
+  double mFailureShare = 0.0; ///< Moving average of failures: 0 for none, 1 for all.
   TimePoint mAvoidUntil{};
 };
 
--- a/src/decision/fleet/fleet_configuration.cpp
+++ b/src/decision/fleet/fleet_configuration.cpp
@@ -1,4 +1,4 @@
-/* Look-ups in the configuration of a fleet. */
+/* Lookups of routes, services and models in the configuration of a fleet. */
 #include "decision/fleet/fleet_configuration_type.h"
 
 namespace rhubarbtrail::fleet {
--- a/src/decision/fleet/fleet_configuration_type.h
+++ b/src/decision/fleet/fleet_configuration_type.h
@@ -1,4 +1,5 @@
-/* The configuration of a fleet: which request goes to which service, and what its models need. */
+/* The configuration of a fleet: the routes from requests to services, and the sizes and load times
+ * of the services' models. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_FLEET_CONFIGURATION_TYPE_H
 #define RHUBARBTRAIL_DECISION_FLEET_FLEET_CONFIGURATION_TYPE_H
 
@@ -14,7 +15,7 @@
 
 namespace rhubarbtrail::fleet {
 
-/* What may be done with a request after it was sent to an endpoint. */
+/* Tells whether and how a request can be repeated after it was sent to an endpoint. */
 enum class RouteKind : std::uint8_t
 {
   kIdempotent,
@@ -22,7 +23,7 @@
   kStream,
 };
 
-/* One of the services that a route's requests are divided between. */
+/* A service that gets a share of a route's requests, in proportion to its weight. */
 struct ServiceShare
 {
   ServiceId service;
@@ -35,58 +36,59 @@
   std::string host;
   std::string prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
-  bool isResumable = false;      ///< A stream may go on at another endpoint.
-  Duration timeout{};            ///< Longest time from arrival to the end of the answer; 0: none.
-  Duration objective{};          ///< Time to the answer, or to the first event, for full credit.
-  Duration pauseObjective{};     ///< Longest pause between events for full credit.
+  bool isResumable = false; ///< Another endpoint can continue a stream that broke off.
+  Duration timeout{};       ///< Longest time from arrival to the end of the answer. 0 for no limit.
+  Duration objective{};     ///< Latency goal for the answer, or for the first event of a stream.
+  Duration pauseObjective{};     ///< Goal for the longest pause between two events of a stream.
   std::uint32_t priority = 0;    ///< 0 is the most urgent.
-  std::uint32_t maxAttempts = 1; ///< Endpoints that may run one request.
+  std::uint32_t maxAttempts = 1; ///< Maximum number of attempts of one request that may run.
   std::vector<ServiceShare> services;
 
   /* Returns whether a request that may have run can be sent again from its beginning. */
   bool MayRepeat() const { return kind == RouteKind::kIdempotent; }
-  /* Returns whether a request that may have run can be sent again in any form. */
+  /* Returns whether a request that may have run can be sent again from its beginning, or its stream
+   * continued at another endpoint. */
   bool MayRepeatOrResume() const { return MayRepeat() || isResumable; }
 };
 
 struct Model
 {
   ModelId id;
-  MemoryMb weights;
-  MemoryMb adapterWeights;
-  std::uint32_t adapters = 0;
-  Duration storeLoad{};  ///< Load time from the weight store, at full speed.
-  Duration memoryLoad{}; ///< Load time from the runner's host memory.
-  Duration diskLoad{};   ///< Load time from the runner's own disk.
+  MemoryMb weights;           ///< Memory for the model without adapters.
+  MemoryMb adapterWeights;    ///< Memory for one adapter.
+  std::uint32_t adapters = 0; ///< Number of adapters that the model has.
+  Duration storeLoad{};       ///< Load time from the weight store at its full speed.
+  Duration memoryLoad{};      ///< Load time from the runner's host memory.
+  Duration diskLoad{};        ///< Load time from the runner's own disk.
 };
 
-/* What the runners of a service that loads models can hold. */
+/* The capacity of each runner of a service that loads models. */
 struct Engine
 {
-  std::uint32_t slots = 0;
-  std::uint64_t cacheTokens = 0; ///< Tokens that running requests and kept prompts share.
-  MemoryMb weights;              ///< For models and adapters together.
-  std::uint32_t adapterSlots = 0;
-  double loadsPerSecond = 0.0; ///< Loads from the weight store, over all runners.
+  std::uint32_t slots = 0;        ///< Requests that run at the same time.
+  std::uint64_t cacheTokens = 0;  ///< Token capacity shared by running requests and cached prompts.
+  MemoryMb weights;               ///< Weight memory, for models and adapters together.
+  std::uint32_t adapterSlots = 0; ///< Loaded adapters, at most.
+  double loadsPerSecond = 0.0; ///< Limit on loads from the weight store, for all runners together.
   std::map<ModelId, Model> models;
 
-  /* Returns a model, or null when the configuration does not name it. */
+  /* Returns the model, or null if the configuration does not name it. */
   const Model* Find(const ModelId& aModel) const;
 };
 
 struct Service
 {
   ServiceId id;
-  std::optional<Engine> engine; ///< Absent for plain services.
+  std::optional<Engine> engine; ///< Absent for services that load no models.
 };
 
-/* What clients may send, and how long they may take. */
+/* Limits on the size of clients' requests and on the time that clients take to send them. */
 struct ClientLimits
 {
   std::uint32_t headerBytes = 16'384;
   std::uint64_t bodyBytes = 4U << 20U;
-  Duration headerTime = 3s;
-  Duration idleTime = 15s;
+  Duration headerTime = 3s; ///< From the first byte of a request to the end of its header.
+  Duration idleTime = 15s;  ///< Between two requests on a connection.
 };
 
 struct FleetConfiguration
--- a/src/decision/fleet/order_lease.cpp
+++ b/src/decision/fleet/order_lease.cpp
@@ -1,4 +1,4 @@
-/* The right to give orders to runners. */
+/* The order lease: taking, renewing and releasing it. */
 #include "decision/fleet/order_lease.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* Time between two tries to write or read after a failure. */
+/* Time from a failed read or write to the next attempt. */
 constexpr Duration kRetryPause = 200ms;
 
 } // namespace
@@ -37,18 +37,18 @@
   const bool isOwn = mRow.holder == mOptions.self;
   const bool isFree =
     mIsKnown && (isOwn || (mRow.holder.empty() && aNow - mChangedAt >= mOptions.headStart));
-  // The store must have shown the same row for a while: after an outage that kept the holder from
-  // renewing, the holder comes first.
+  // Reads must have returned the same row for a while. After an outage of the store that prevented
+  // renewals, this gives the holder the time to renew before another daemon takes over.
   const bool isSilent = mIsKnown && aNow - mHeardAt >= mOptions.patience + mOptions.headStart &&
                         mSameSince && aNow - *mSameSince >= mOptions.proof;
   if (isFree || isSilent) {
-    // What this daemon has last read may be old; the write is bound to that version.
+    // The last known row may be outdated. The store rejects the write unless the version matches.
     mPhase = Phase::kTaking;
     mIsBusy = true;
     mSentAt = aNow;
     const bool isFirst = mVersion.value == 0;
-    const bool isContinued = isOwn && mRow.hasWaited; // The same host was the last to give orders.
-    // A holder that hands the lease back has given no order since.
+    const bool isContinued = isOwn && mRow.hasWaited; // No other daemon has sent orders since.
+    // A holder sends no orders from when it releases the lease, before the row shows the release.
     const Duration window = mRow.holder.empty() ? Duration::zero() : mOptions.orderWindow;
     mOrdersFrom =
       isFirst || isContinued ? aNow : mChangedAt + window + mOptions.flight + mOptions.spacing;
@@ -88,7 +88,7 @@
 void OrderLease::See(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
 {
   if (mIsKnown && aVersion < mVersion) {
-    return; // An old state of the row.
+    return; // The row that this daemon knows is newer.
   }
   if (!mIsKnown || aVersion != mVersion) {
     mChangedAt = aNow;
@@ -110,7 +110,7 @@
   mIsBusy = false;
   const bool wasUnsure = std::exchange(mIsUnsure, false);
   if (wasUnsure && aRow == mWriting && aRow.incarnation == mOptions.incarnation) {
-    // The write whose answer was lost has been done.
+    // The write with the unknown result has succeeded.
     mIsBusy = true;
     OnWritten(aNow, aVersion);
     return;
@@ -158,7 +158,7 @@
   mIsBusy = false;
   if (aRow.incarnation == mOptions.incarnation && aRow.holder == mOptions.self &&
       aRow.renewals >= mRow.renewals) {
-    // A write of this process took effect late; its version is the newest now.
+    // An earlier write of this process took effect late, so the row is still this daemon's own.
     mRow = aRow;
     mVersion = aVersion;
     mChangedAt = aNow;
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -1,4 +1,5 @@
-/* The right to give orders to runners: one daemon at a time, by a row in the platform's store. */
+/* The order lease: a row in the platform's store that decides which daemon may send orders to
+ * runners. At most one daemon holds it at a time. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_ORDER_LEASE_H
 #define RHUBARBTRAIL_DECISION_FLEET_ORDER_LEASE_H
 
@@ -12,14 +13,14 @@
 
 namespace rhubarbtrail::fleet {
 
-/* The row of the lease. */
+/* The contents of the lease row in the store. */
 struct LeaseRow
 {
-  DaemonId holder; ///< Empty: handed back.
+  DaemonId holder; ///< Empty after the holder has released the lease.
   IncarnationId incarnation;
-  std::string address;    ///< Of the holder's link.
-  bool hasWaited = false; ///< Orders of former holders are far enough in the past.
-  std::uint64_t renewals = 0;
+  std::string address;        ///< Address at which the holder accepts connections of other daemons.
+  bool hasWaited = false;     ///< The wait after orders of former holders is over.
+  std::uint64_t renewals = 0; ///< Number of times that the row was written, over all holders.
 
   bool operator==(const LeaseRow&) const = default;
 };
@@ -29,18 +30,22 @@
   DaemonId self;
   IncarnationId incarnation;
   std::string address;
-  Duration spacing = 3s;          ///< Least time between orders of two holders.
-  Duration renewal = 700ms;       ///< Time between renewals.
-  Duration orderWindow = 1'200ms; ///< Orders may leave for so long after a renewal was sent.
-  Duration patience = 2'200ms;    ///< Silence after which the lease is taken over.
-  Duration flight = 200ms;        ///< Longest time that an order is on its way.
-  Duration proof = 1'200ms;       ///< Time for which the store must show the same row before that.
-  Duration silence = 1'100ms;     ///< Time without word from the holder before the row is read.
-  Duration look = 400ms;          ///< Time between reads from then on.
-  Duration headStart{};           ///< How much longer this host waits than better equipped ones.
+  Duration spacing = 3s;    ///< Minimum time between orders of two different holders.
+  Duration renewal = 700ms; ///< Time between renewals.
+  /* Time in which orders may be sent, from the sending of the last confirmed renewal. */
+  Duration orderWindow = 1'200ms;
+  Duration patience = 2'200ms; ///< Time without a sign of the holder before a takeover.
+  Duration flight = 200ms;     ///< Longest time that an order takes to reach its runner.
+  Duration proof = 1'200ms;    ///< Before a takeover, reads must return the same row for this time.
+  Duration silence = 1'100ms;  ///< Time without a sign of the holder after which the row is read.
+  Duration look = 400ms;       ///< Time between these reads.
+  /* Additional wait before this daemon takes a free or expired lease. Hosts with little processor
+   * time set it, so that better equipped hosts get the lease first. */
+  Duration headStart{};
 };
 
-/* Whether the holder can write to the store. */
+/* Whether the holder's renewals reach the store. A heartbeat delays a takeover only if the holder
+ * is renewing or if the heartbeat has a new version of the row. */
 enum class HolderState : std::uint8_t
 {
   kRenewing,
@@ -58,39 +63,49 @@
 
 using LeaseAction = std::variant<ReadLease, WriteLease>;
 
-/* Endpoints do not compare fencing numbers, so the lease alone keeps two holders' orders apart:
- * - the holder counts from when it sent a renewal, and gives no order after the window;
- * - who takes over waits, by its own clock, from when it last saw the row change, for the window,
- *   the flight of an order and the spacing.
- * Times come from a clock that counts suspensions. */
+/* The state machine of one daemon for the order lease. The caller carries out the returned reads
+ * and writes and reports their results.
+ *
+ * Endpoints do not compare fencing tokens, so the lease alone must keep the orders of two holders
+ * apart:
+ * - The holder sends no order once the order window has passed since it sent its last confirmed
+ *   renewal.
+ * - A daemon that takes over waits before its first order: for the order window, the delivery time
+ *   of an order and the spacing, by its own clock, from when it last saw the row change.
+ *
+ * The wait is shorter by the order window if the former holder released the lease. There is no wait
+ * if the row is new, or if this daemon was the last one that could send orders.
+ *
+ * All times must come from a clock that keeps counting while the host is suspended. */
 class OrderLease
 {
 public:
   explicit OrderLease(OrderLeaseOptions aOptions);
 
-  /* Returns what to do now; at most one action is under way at a time. */
+  /* Returns the next read or write of the row, if one is due. There is at most one in progress. */
   std::optional<LeaseAction> Tick(TimePoint aNow);
 
-  /* The row as read; version 0 when it is absent. */
+  /* A read has returned the row. The version is 0 when the store has no such row. */
   void OnRead(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
   void OnReadFailed(TimePoint aNow);
   void OnWritten(TimePoint aNow, RowVersion aVersion);
-  /* Another daemon has written the row, as given. */
+  /* A write was rejected because the row has another version. The arguments are the current row. */
   void OnConflict(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
+  /* A write failed. If its result is unknown, the next action is a read that finds out. */
   void OnWriteFailed(TimePoint aNow, bool aMayHaveBeenDone);
-  /* The holder says that it is alive and which version the row has. */
+  /* A heartbeat of the holder has arrived, with the row and version that the holder knows. */
   void OnHolderHeard(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion, HolderState aState);
-  /* The daemon stops: the lease is handed back. */
+  /* Releases the lease because the daemon shuts down. The next renewal clears the holder. */
   void Release() { mIsReleasing = true; }
 
-  /* Of this daemon, while it is the holder. */
+  /* Returns the state that this daemon sends in its heartbeats while it is the holder. */
   HolderState state(TimePoint aNow) const;
   bool isHolder() const { return mPhase == Phase::kHeld; }
-  /* Returns whether an order may leave now. */
+  /* Returns whether this daemon may send an order now. */
   bool MayOrder(TimePoint aNow) const;
-  /* The fencing number of this tenure: the row's version when the lease was taken. */
+  /* Returns the fencing token of this lease term: the row's version when the lease was taken. */
   Fence fence() const { return mFence; }
-  /* The row as last known; the holder is empty when nobody holds the lease. */
+  /* Returns the last known row. Its holder is empty when no daemon holds the lease. */
   const LeaseRow& row() const { return mRow; }
   RowVersion version() const { return mVersion; }
   bool isReleased() const { return mIsReleasing && mPhase != Phase::kHeld; }
@@ -114,17 +129,17 @@
   LeaseRow mRow;
   RowVersion mVersion;
   Fence mFence;
-  bool mIsBusy = false;   ///< An action is under way.
-  bool mIsKnown = false;  ///< The row was read or heard of.
-  bool mIsUnsure = false; ///< A write may have been done; the row must be read.
+  bool mIsBusy = false;   ///< A read or write is in progress.
+  bool mIsKnown = false;  ///< The row was read, or arrived with a heartbeat.
+  bool mIsUnsure = false; ///< The result of a write is unknown, so the row must be read.
   bool mIsReleasing = false;
   LeaseRow mWriting;
-  TimePoint mChangedAt{};              ///< When the row was last seen to change.
-  std::optional<TimePoint> mSameSince; ///< The store has shown this row since then.
-  TimePoint mHeardAt{};                ///< When the holder was last heard of.
-  TimePoint mSentAt{};                 ///< When the write under way was sent.
-  TimePoint mConfirmedAt{};            ///< When the last confirmed renewal was sent.
-  TimePoint mOrdersFrom{}; ///< Former holders' orders are far enough in the past from here on.
+  TimePoint mChangedAt{};              ///< When this daemon last saw a new version of the row.
+  std::optional<TimePoint> mSameSince; ///< Since when all reads have returned this row.
+  TimePoint mHeardAt{};     ///< Last heartbeat of a renewing holder, or last change of the row.
+  TimePoint mSentAt{};      ///< When the last write was sent.
+  TimePoint mConfirmedAt{}; ///< When the last write that the store confirmed was sent.
+  TimePoint mOrdersFrom{};  ///< End of the wait after orders of former holders.
   TimePoint mNextAction{};
 };
 
--- a/src/decision/fleet/order_type.h
+++ b/src/decision/fleet/order_type.h
@@ -1,4 +1,4 @@
-/* Orders that make runners load and unload models and adapters. */
+/* Orders to runners to load or unload a model or an adapter, and their results. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_ORDER_TYPE_H
 #define RHUBARBTRAIL_DECISION_FLEET_ORDER_TYPE_H
 
@@ -20,21 +20,22 @@
   EndpointId runner;
   std::string address;
   OrderKind kind = OrderKind::kLoad;
-  ModelRef subject;
-  std::uint64_t expectedOrderCount = 0; ///< The runner refuses when it has accepted others since.
+  ModelRef subject; ///< The model or adapter to load or unload.
+  /* The runner rejects the order unless it has accepted this number of orders before. */
+  std::uint64_t expectedOrderCount = 0;
   std::string holder;
   Fence fence;
 };
 
 enum class OrderOutcome : std::uint8_t
 {
-  kAccepted, ///< The runner carries it out.
-  kHolds,    ///< What was ordered already holds.
-  kConflict, ///< Another order is under way, or others were accepted since.
-  kFenced,   ///< The runner has seen a newer holder.
-  kRejected, ///< The runner is another one, or does not know the order.
-  kUnknown,  ///< No answer: it may be carried out, now or later.
-  kNotSent,  ///< No byte can have left.
+  kAccepted, ///< The runner has accepted the order and carries it out.
+  kHolds,    ///< The runner is already in the ordered state.
+  kConflict, ///< Another order is in progress, or the number of accepted orders differs.
+  kFenced,   ///< The runner has seen a newer fencing token.
+  kRejected, ///< The address belongs to another runner, or the runner does not know the order.
+  kUnknown,  ///< No usable answer. The runner may carry out the order, now or later.
+  kNotSent,  ///< No byte of the order was sent.
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/pace.h
+++ b/src/decision/fleet/pace.h
@@ -1,4 +1,4 @@
-/* How fast models run, from the times to the first event that requests have seen. */
+/* Tracks how fast each model runs, by the times from sending a request to its first event. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_PACE_H
 #define RHUBARBTRAIL_DECISION_FLEET_PACE_H
 
@@ -11,8 +11,9 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A factor for each model on the times that the estimates give: larger models run slower, and the
- * configuration does not say how much. */
+/* Keeps one factor for each model by which estimated times are multiplied. Larger models run
+ * slower, and the configuration does not say by how much. The factor is 1 until the first
+ * measurement. */
 class PaceBook
 {
 public:
@@ -22,7 +23,8 @@
     return found == mFactors.end() ? 1.0 : found->second;
   }
 
-  /* Notes how long a request took to its first event, and what was expected. */
+  /* Adjusts the model's factor by the expected and the measured time from sending a request to its
+   * first event. A measured time of 0 means that there was no event and is ignored. */
   void Note(const ModelId& aModel, Duration aExpected, Duration aSeen)
   {
     if (aSeen <= Duration::zero()) {
@@ -36,9 +38,9 @@
   }
 
 private:
-  static constexpr double kLeastUs = 5'000.0; ///< Shorter times are taken for this one.
-  static constexpr double kLargestStep = 3.0; ///< One sample counts as no more than that.
-  static constexpr double kWeight = 0.08;     ///< Of one sample, in the logarithm.
+  static constexpr double kLeastUs = 5'000.0; ///< Shorter times, in microseconds, count as this.
+  static constexpr double kLargestStep = 3.0; ///< Limit of one sample's ratio and its inverse.
+  static constexpr double kWeight = 0.08;     ///< Exponent that a sample's ratio is raised to.
   static constexpr double kLeastFactor = 0.15;
   static constexpr double kLargestFactor = 4.0;
 
--- a/src/decision/fleet/prompt_cache.cpp
+++ b/src/decision/fleet/prompt_cache.cpp
@@ -1,4 +1,4 @@
-/* What a runner is believed to keep of the prompts that it has read. */
+/* Estimates which parts of prompts a runner has in its prompt cache. */
 #include "decision/fleet/prompt_cache.h"
 
 #include <string>
@@ -8,13 +8,15 @@
 
 namespace {
 
-/* Parts are kept for a model and adapter, and only count behind all parts before them. */
+/* Returns the key of an empty prompt. Each model and adapter has its own cached prompts. */
 std::uint64_t FirstKey(const ModelRef& aModel)
 {
   const std::string name = aModel.model.str() + "/" + aModel.adapter.str();
   return XXH3_64bits(name.data(), name.size());
 }
 
+/* Returns the key of a prompt that one more part follows. It depends on all parts before, because a
+ * cached part can be reused only behind the same beginning. */
 std::uint64_t NextKey(std::uint64_t aKey, const PromptPart& aPart)
 {
   return XXH3_64bits_withSeed(&aPart.id, sizeof(aPart.id), aKey);
--- a/src/decision/fleet/prompt_cache.h
+++ b/src/decision/fleet/prompt_cache.h
@@ -1,4 +1,4 @@
-/* What a runner is believed to keep of the prompts that it has read. */
+/* Estimates which parts of prompts a runner has in its prompt cache. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_PROMPT_CACHE_H
 #define RHUBARBTRAIL_DECISION_FLEET_PROMPT_CACHE_H
 
@@ -10,31 +10,33 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Follows what is sent to the runner; the least recently used parts yield. */
+/* Models a runner's prompt cache by the requests that are sent to the runner. When the parts exceed
+ * the capacity, the least recently used ones are evicted. */
 class PromptCache
 {
 public:
   void SetCapacity(std::uint64_t aTokens) { mCapacity = aTokens; }
 
-  /* Returns the tokens at the front of a prompt that need not be read again. */
+  /* Returns the number of tokens at the beginning of a prompt that the runner has cached and need
+   * not process again. */
   std::uint32_t KeptTokens(const ModelWork& aWork) const;
-  /* Notes that the runner reads a prompt. */
+  /* Records that the runner processes a prompt and so caches its parts. */
   void Note(const ModelWork& aWork);
-  /* Forgets what was kept for a model. */
+  /* Removes all parts that belong to a model or its adapters. */
   void Drop(const ModelId& aModel);
   void Clear();
 
 private:
   struct Part
   {
-    std::uint64_t key = 0; ///< Of the prompt up to the end of this part.
+    std::uint64_t key = 0; ///< Hash of model, adapter and prompt up to the end of this part.
     std::uint32_t tokens = 0;
     ModelId model;
   };
 
   std::uint64_t mCapacity = 0;
   std::uint64_t mTokens = 0;
-  std::list<Part> mParts; ///< The most recently used first.
+  std::list<Part> mParts; ///< Ordered from the most to the least recently used.
   std::unordered_map<std::uint64_t, std::list<Part>::iterator> mIndex;
 };
 
--- a/src/decision/fleet/retry_share.cpp
+++ b/src/decision/fleet/retry_share.cpp
@@ -1,4 +1,4 @@
-/* One daemon's share of the retries that the whole fleet may make. */
+/* One daemon's share of the retry budget of the whole fleet. */
 #include "decision/fleet/retry_share.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-/* Part of the limit that is used: what others count and when they count it differs a little. */
+/* Fraction of the limit that is used. The rest is a margin, because others count the same requests
+ * and retries a little differently and at other times. */
 constexpr double kUsedPart = 0.8;
 
 } // namespace
--- a/src/decision/fleet/retry_share.h
+++ b/src/decision/fleet/retry_share.h
@@ -1,4 +1,4 @@
-/* One daemon's share of the retries that the whole fleet may make. */
+/* One daemon's share of the retry budget of the whole fleet. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_RETRY_SHARE_H
 #define RHUBARBTRAIL_DECISION_FLEET_RETRY_SHARE_H
 
@@ -12,31 +12,34 @@
 
 struct RetryShareOptions
 {
-  double ratio = 0.2;  ///< Retries for each request, in any window.
-  double slack = 50.0; ///< Retries beyond these, of the whole fleet, in any window.
-  Duration window = 10s;
-  std::uint32_t daemons = 1; ///< Daemons that share the slack.
+  double ratio = 0.2;        ///< Allowed retries per request, in any window.
+  double slack = 50.0;       ///< Additional retries that the whole fleet may make in any window.
+  Duration window = 10s;     ///< Time over which requests and retries are counted.
+  std::uint32_t daemons = 1; ///< Number of daemons that share the slack.
 };
 
-/* Counts first and repeated sends to each service. All daemons together stay within the limit when
- * each stays within its share; a service whose endpoints all fail then gets no flood of retries. */
+/* Counts the requests and the retries to each service and limits the retries. All daemons together
+ * stay within the fleet's budget when each one stays within its share. So a service whose endpoints
+ * all fail is not flooded with retries. */
 class RetryShare
 {
 public:
   void SetOptions(const RetryShareOptions& aOptions) { mOptions = aOptions; }
 
+  /* Records a request, which raises the limit. */
   void NoteRequest(TimePoint aNow, const ServiceId& aService);
-  /* Takes one retry; false when the share is used up. */
+  /* Records one retry and returns true, or returns false if the share is used up. */
   bool Take(TimePoint aNow, const ServiceId& aService);
-  /* Returns the retries left for a service. */
+  /* Returns the number of retries that the daemon may still make now. Negative above the limit. */
   double Left(TimePoint aNow, const ServiceId& aService) const;
 
 private:
-  /* Counts by slices of the window, so that any span of its length is covered. */
+  /* The window is counted in slices, with one slice more than the window has, so that the counts
+   * cover at least the last window at any time. */
   static constexpr std::size_t kSlices = 10;
   struct Slice
   {
-    std::int64_t number = -1;
+    std::int64_t number = -1; ///< Time since the clock's epoch, in slices. -1: not used yet.
     std::uint32_t requests = 0;
     std::uint32_t retries = 0;
   };
--- a/src/decision/fleet/runner_registry.cpp
+++ b/src/decision/fleet/runner_registry.cpp
@@ -1,4 +1,4 @@
-/* The endpoints that a daemon may use, as it believes them to be. */
+/* The endpoints that a daemon knows, with their last known state. */
 #include "decision/fleet/runner_registry.h"
 
 #include "decision/rendezvous_func.h"
@@ -10,9 +10,9 @@
 
 namespace {
 
-/* Age up to which a stated load is believed. */
+/* Age at which a load that an endpoint reported is no longer used. */
 constexpr Duration kLoadLifetime = 400ms;
-/* How long a removed runner is remembered, for answers still under way. */
+/* Time for which a runner without an entry is kept, so that answers still in flight find it. */
 constexpr Duration kForgetAfter = 60s;
 
 bool Holds(const RunnerEntry& aEntry, const ModelRef& aModel)
@@ -94,7 +94,8 @@
   if (!aRunner.missingSince) {
     return false;
   }
-  // An entry that lapsed while the store was away may come back.
+  // An entry that expired while the store was unreachable may return, so it does not count as
+  // gone yet.
   return mRegainedAt && aNow >= *mRegainedAt + kLapsedEntryGrace;
 }
 
@@ -111,8 +112,9 @@
 
 std::optional<EndpointId> RunnerRegistry::Choose(TimePoint aNow, const Wanted& aWanted) const
 {
-  // Load that arrives at many daemons at once finds the same endpoint idle; the random-looking
-  // last member spreads it, by daemon and request.
+  // Endpoints rank by: not avoided, least load, same zone. The last member breaks ties by a hash of
+  // the affinity and the endpoint. Otherwise many daemons that see the same idle endpoint would all
+  // send their requests there at the same time.
   using Rank = std::tuple<bool, std::uint32_t, bool, std::uint64_t>;
   std::optional<Rank> best;
   std::optional<EndpointId> chosen;
--- a/src/decision/fleet/runner_registry.h
+++ b/src/decision/fleet/runner_registry.h
@@ -1,4 +1,4 @@
-/* The endpoints that a daemon may use, as it believes them to be. */
+/* The endpoints that a daemon knows, with their last known state. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_RUNNER_REGISTRY_H
 #define RHUBARBTRAIL_DECISION_FLEET_RUNNER_REGISTRY_H
 
@@ -13,33 +13,36 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Time after the store's return within which entries that lapsed meanwhile come back. The store's
- * operators state about two seconds; the rest is for the way here. */
+/* Time after the store is reachable again within which entries return that expired during the
+ * outage. The operators of the store state about 2 s. The rest allows for the delay until this
+ * daemon sees them. */
 constexpr Duration kLapsedEntryGrace = 2'300ms;
 
+/* An endpoint with the state that this daemon keeps of it. */
 struct KnownRunner
 {
   RunnerEntry entry;
-  TimePoint changedAt{};
-  std::optional<TimePoint> missingSince; ///< Its entry has gone.
-  std::uint32_t inFlight = 0;            ///< Requests of this daemon.
+  TimePoint changedAt{};                 ///< When the last entry arrived.
+  std::optional<TimePoint> missingSince; ///< Since when the endpoint has no entry.
+  std::uint32_t inFlight = 0;            ///< Requests of this daemon in flight at the endpoint.
   StatedLoad load;
-  TimePoint loadAt{};
+  TimePoint loadAt{}; ///< When the endpoint reported the load.
   EndpointHealth health;
 };
 
-/* Why a runner is left out. */
+/* Why an endpoint gets no new requests, or only when there is no other. */
 enum class Exclusion : std::uint8_t
 {
   kNone,
-  kLeaving,
-  kGone,
-  kDoubted,
+  kLeaving, ///< It is draining.
+  kGone,    ///< It has no entry any more.
+  kDoubted, ///< It is avoided because requests failed there or were refused.
 };
 
 class RunnerRegistry
 {
 public:
+  /* What a new entry of a runner changes. */
   enum class Change : std::uint8_t
   {
     kNone,
@@ -49,33 +52,35 @@
     kUpdated,
   };
 
-  /* Takes a runner's entry and returns what it changes. */
+  /* Stores a runner's entry and returns what it changes. */
   Change Apply(TimePoint aNow, RunnerEntry aEntry);
-  /* Takes note that an entry has gone. */
+  /* Records that a runner's entry is no longer in the store. */
   void Remove(TimePoint aNow, const EndpointId& aRunner);
-  /* Takes note that the store has answered again after it had not. */
+  /* Records that the store is reachable again after an outage. */
   void OnStoreRegained(TimePoint aNow) { mRegainedAt = aNow; }
   void OnStoreLost() { mRegainedAt.reset(); }
 
+  /* Record the start and the end of a request at a runner. */
   void NoteStart(const EndpointId& aRunner);
   void NoteEnd(TimePoint aNow, const EndpointId& aRunner, EndpointSign aSign);
+  /* Records the load that a runner reported. */
   void NoteLoad(TimePoint aNow, const EndpointId& aRunner, const StatedLoad& aLoad);
 
-  /* Returns whether new requests may go to a runner. */
+  /* Returns whether a runner may get new requests, and if not, why. */
   Exclusion Check(TimePoint aNow, const KnownRunner& aRunner) const;
 
-  /* What to choose an endpoint for. */
+  /* The request that an endpoint is chosen for. */
   struct Wanted
   {
     ServiceId service;
     ZoneId zone;
-    const ModelRef* model = nullptr; ///< Null for plain services.
-    std::uint64_t affinity = 0;      ///< Requests with the same value go to the same runner.
+    const ModelRef* model = nullptr; ///< Null for services that load no models.
+    std::uint64_t affinity = 0; ///< Equal values choose the same one of equally good endpoints.
     const std::set<EndpointId>* excluded = nullptr;
   };
 
-  /* Returns the endpoint that is expected to answer first, or nothing. Doubted ones are taken when
-   * there is no other. */
+  /* Returns the endpoint that is expected to answer first, or nothing if none is usable. An
+   * endpoint that is avoided is chosen only when there is no other. */
   std::optional<EndpointId> Choose(TimePoint aNow, const Wanted& aWanted) const;
 
   const KnownRunner* Find(const EndpointId& aRunner) const;
@@ -85,7 +90,7 @@
   bool IsGone(TimePoint aNow, const KnownRunner& aRunner) const;
 
   std::map<EndpointId, KnownRunner> mRunners;
-  std::optional<TimePoint> mRegainedAt{ TimePoint{} }; ///< Empty while the store is away.
+  std::optional<TimePoint> mRegainedAt{ TimePoint{} }; ///< Empty while the store is unreachable.
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/runner_type.h
+++ b/src/decision/fleet/runner_type.h
@@ -1,4 +1,4 @@
-/* What a runner says of itself: its entry in the platform's list, and its report. */
+/* The state that a runner publishes: its entry in the platform's runner table and its reports. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_RUNNER_TYPE_H
 #define RHUBARBTRAIL_DECISION_FLEET_RUNNER_TYPE_H
 
@@ -13,7 +13,7 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A model with one of its adapters; without an adapter, the model itself. */
+/* A model with one of its adapters, or the model itself when the adapter is empty. */
 struct ModelRef
 {
   ModelId model;
@@ -23,11 +23,11 @@
   bool operator==(const ModelRef&) const = default;
 };
 
-/* What a runner holds and has copies of. */
+/* The models and adapters that a runner has loaded, and its other copies of model weights. */
 struct RunnerHoldings
 {
-  std::map<ModelId, std::set<AdapterId>> models;
-  std::set<ModelRef> arriving; ///< Adapters on their way to the runner.
+  std::map<ModelId, std::set<AdapterId>> models; ///< Loaded models with their loaded adapters.
+  std::set<ModelRef> arriving;                   ///< Adapters that are being loaded.
   std::set<ModelId> inHostMemory;
   std::set<ModelId> onDisk;
 
@@ -40,7 +40,7 @@
   kDraining,
 };
 
-/* The entry by which a runner announces itself. */
+/* The row by which a runner announces itself. */
 struct RunnerEntry
 {
   EndpointId id;
@@ -49,18 +49,20 @@
   std::string address;
   std::uint32_t slots = 1;
   RunnerState state = RunnerState::kReady;
-  std::optional<Duration> leavesIn; ///< Time until the runner is gone, whatever it runs.
-  std::int64_t startedAtMs = 0;     ///< Unix time of its start; tells one life from the next.
+  /* Time until the runner stops, even if it still runs requests. */
+  std::optional<Duration> leavesIn;
+  /* Unix time of the runner's start. A changed value means that it restarted. */
+  std::int64_t startedAtMs = 0;
   RunnerHoldings holdings;
 
   bool operator==(const RunnerEntry&) const = default;
 };
 
-/* The answer to a question about a runner's state; some hundred milliseconds old. */
+/* A runner's answer about its state. The state may be some hundred milliseconds old. */
 struct RunnerReport
 {
-  bool isBusy = false;          ///< An order about a model is being carried out.
-  std::uint64_t orderCount = 0; ///< Orders that it has accepted since it started.
+  bool isBusy = false;          ///< The runner is carrying out an order to load or unload a model.
+  std::uint64_t orderCount = 0; ///< Orders that the runner has accepted since it started.
   std::int64_t startedAtMs = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -68,7 +70,7 @@
   RunnerHoldings holdings;
 };
 
-/* The load that an endpoint states with an answer. */
+/* The load that an endpoint reports in the header of an answer. */
 struct StatedLoad
 {
   std::uint32_t running = 0;
--- a/src/decision/fleet/work_type.h
+++ b/src/decision/fleet/work_type.h
@@ -1,4 +1,4 @@
-/* The work of a request for a model, as the placement decisions see it. */
+/* The size and prompt of a request for a model, from which placement estimates its cost. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_WORK_TYPE_H
 #define RHUBARBTRAIL_DECISION_FLEET_WORK_TYPE_H
 
@@ -9,7 +9,8 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A part of a prompt that other requests may share. */
+/* A section of a prompt. Runners can reuse it for other requests whose prompts begin with the same
+ * sections. */
 struct PromptPart
 {
   std::uint64_t id = 0;
@@ -20,7 +21,7 @@
 {
   ModelRef target;
   std::uint32_t promptTokens = 0;
-  std::uint32_t outputTokens = 0; ///< At most.
+  std::uint32_t outputTokens = 0; ///< Upper limit.
   std::vector<PromptPart> parts;
 };
 
