--- a/src/decision/fleet/attempt_policy.cpp
+++ b/src/decision/fleet/attempt_policy.cpp
@@ -9,13 +9,13 @@
  * each attempt is one more arrival at an endpoint. */
 constexpr std::uint32_t kRefusalLimit = 4;
 /* No attempt is made with this time left or less, because no answer could arrive in it. */
-constexpr Duration kShortestAttempt = 20ms;
+constexpr Duration kMinAttemptTime = 20ms;
 
 bool MayRunAgain(const AttemptState& aState)
 {
   const bool isRepeatable = aState.kind == RouteKind::kIdempotent || aState.isResumable;
   return isRepeatable && aState.runs < aState.maxAttempts && !aState.isConvicted &&
-         aState.timeLeft > kShortestAttempt;
+         aState.timeLeft > kMinAttemptTime;
 }
 
 } // namespace
@@ -48,7 +48,7 @@
       return MayRunAgain(aState) ? NextStep::kTryAgain : NextStep::kPassOn;
     case AttemptEnd::kNotSent:
     case AttemptEnd::kNotRun:
-      if (aState.refusals < kRefusalLimit && aState.timeLeft > kShortestAttempt) {
+      if (aState.refusals < kRefusalLimit && aState.timeLeft > kMinAttemptTime) {
         return NextStep::kTryAgain;
       }
       return aState.runs == 0 ? NextStep::kRefuse : NextStep::kFail;
--- a/src/decision/fleet/crash_guard.cpp
+++ b/src/decision/fleet/crash_guard.cpp
@@ -5,22 +5,22 @@
 
 void CrashGuard::NoteBreak(TimePoint aNow, const FingerprintId& aRequest)
 {
-  if (mSuspects.size() >= kSuspectLimit) {
-    std::erase_if(mSuspects, [&](const auto& aItem) { return aItem.second.until < aNow; });
+  if (mSuspects.size() >= kMaxSuspects) {
+    std::erase_if(mSuspects, [&](const auto& aItem) { return aItem.second.expiresAt < aNow; });
   }
-  if (mSuspects.size() >= kSuspectLimit) {
+  if (mSuspects.size() >= kMaxSuspects) {
     return; // Crashes of so many different requests must have another cause than the requests.
   }
   Suspect& suspect = mSuspects[aRequest];
-  suspect.breaks = suspect.until < aNow ? 1 : suspect.breaks + 1;
-  suspect.until = aNow + kSuspicionTime;
+  suspect.crashes = suspect.expiresAt < aNow ? 1 : suspect.crashes + 1;
+  suspect.expiresAt = aNow + kCrashCountLifetime;
 }
 
 bool CrashGuard::IsConvicted(TimePoint aNow, const FingerprintId& aRequest) const
 {
   const auto found = mSuspects.find(aRequest);
-  return found != mSuspects.end() && found->second.until >= aNow &&
-         found->second.breaks >= kConvictionCount;
+  return found != mSuspects.end() && found->second.expiresAt >= aNow &&
+         found->second.crashes >= kQuarantineThreshold;
 }
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/crash_guard.h
+++ b/src/decision/fleet/crash_guard.h
@@ -11,13 +11,13 @@
 namespace rhubarbtrail::fleet {
 
 /* Time after the last crash until the crashes of a request are forgotten. */
-constexpr Duration kSuspicionTime = 60s;
+constexpr Duration kCrashCountLifetime = 60s;
 /* Number of crashes in a row after which a request is quarantined. It is the largest number of
  * crashed runners that operators accept. One or two may be chance, when runners fail for other
  * reasons. */
-constexpr std::uint32_t kConvictionCount = 3;
+constexpr std::uint32_t kQuarantineThreshold = 3;
 /* Maximum number of requests whose crashes are counted. */
-constexpr std::size_t kSuspectLimit = 4'096;
+constexpr std::size_t kMaxSuspects = 4'096;
 
 /* Counts, by the fingerprint of a request, the runners that crashed while they ran it. Daemons send
  * each other the crashes and answers that they see, because a client may repeat such a request at
@@ -35,8 +35,8 @@
 private:
   struct Suspect
   {
-    std::uint32_t breaks = 0;
-    TimePoint until{};
+    std::uint32_t crashes = 0;
+    TimePoint expiresAt{};
   };
 
   std::unordered_map<FingerprintId, Suspect> mSuspects;
--- a/src/decision/fleet/demand.h
+++ b/src/decision/fleet/demand.h
@@ -23,20 +23,20 @@
 
   void Add(TimePoint aNow, double aWeight)
   {
-    mValue = Read(aNow) + aWeight / mTimeConstantS;
-    mAt = aNow;
+    mValue = ValueAt(aNow) + aWeight / mTimeConstantS;
+    mUpdatedAt = aNow;
   }
 
-  double Read(TimePoint aNow) const
+  double ValueAt(TimePoint aNow) const
   {
-    const double seconds = std::chrono::duration<double>(aNow - mAt).count();
+    const double seconds = std::chrono::duration<double>(aNow - mUpdatedAt).count();
     return mValue * std::exp(-seconds / mTimeConstantS);
   }
 
 private:
   double mTimeConstantS;
   double mValue = 0.0;
-  TimePoint mAt{};
+  TimePoint mUpdatedAt{};
 };
 
 /* Keeps the recent demand for each model. Demand moves to other models several times a minute. A
@@ -48,53 +48,53 @@
   /* Records a request that needs aWork of a runner's time. */
   void Note(TimePoint aNow, const ModelId& aModel, Duration aWork)
   {
-    Entry& entry = mEntries[aModel];
+    ModelDemand& demand = mDemandByModel[aModel];
     const double work = std::chrono::duration<double>(aWork).count();
-    entry.rate.Add(aNow, 1.0);
-    entry.longWork.Add(aNow, work);
-    entry.shortWork.Add(aNow, work);
+    demand.requestRate.Add(aNow, 1.0);
+    demand.longTermWork.Add(aNow, work);
+    demand.shortTermWork.Add(aNow, work);
   }
 
   /* Returns the requests for a model per second. */
   double Rate(TimePoint aNow, const ModelId& aModel) const
   {
-    const auto found = mEntries.find(aModel);
-    return found == mEntries.end() ? 0.0 : found->second.rate.Read(aNow);
+    const auto found = mDemandByModel.find(aModel);
+    return found == mDemandByModel.end() ? 0.0 : found->second.requestRate.ValueAt(aNow);
   }
 
   /* Returns the number of runners that the requests for a model keep busy: the larger of both
    * averages. */
   double Work(TimePoint aNow, const ModelId& aModel) const
   {
-    const auto found = mEntries.find(aModel);
-    return found == mEntries.end()
-             ? 0.0
-             : std::max(found->second.longWork.Read(aNow), found->second.shortWork.Read(aNow));
+    const auto found = mDemandByModel.find(aModel);
+    return found == mDemandByModel.end() ? 0.0
+                                         : std::max(found->second.longTermWork.ValueAt(aNow),
+                                                    found->second.shortTermWork.ValueAt(aNow));
   }
 
   /* Returns all models with a recorded request. */
   std::vector<ModelId> Models() const
   {
     std::vector<ModelId> models;
-    models.reserve(mEntries.size());
-    for (const auto& item : mEntries) {
+    models.reserve(mDemandByModel.size());
+    for (const auto& item : mDemandByModel) {
       models.push_back(item.first);
     }
     return models;
   }
 
 private:
-  static constexpr double kLongS = 6.0;
-  static constexpr double kShortS = 1.5;
+  static constexpr double kLongTimeConstantS = 6.0;
+  static constexpr double kShortTimeConstantS = 1.5;
 
-  struct Entry
+  struct ModelDemand
   {
-    DecayingRate rate{ kLongS };
-    DecayingRate longWork{ kLongS };
-    DecayingRate shortWork{ kShortS };
+    DecayingRate requestRate{ kLongTimeConstantS };
+    DecayingRate longTermWork{ kLongTimeConstantS };
+    DecayingRate shortTermWork{ kShortTimeConstantS };
   };
 
-  std::map<ModelId, Entry> mEntries;
+  std::map<ModelId, ModelDemand> mDemandByModel;
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/endpoint_health.cpp
+++ b/src/decision/fleet/endpoint_health.cpp
@@ -9,13 +9,13 @@
  * outcomes distinguish an endpoint that fails 4 of 10 requests from one that fails 1 of 10. */
 constexpr double kFailureWeight = 0.2;
 /* An endpoint is avoided after a failure that leaves the average of failures above this value. */
-constexpr double kDoubtedShare = 0.35;
+constexpr double kAvoidanceThreshold = 0.35;
 /* Shortest and longest time for which an endpoint is avoided. The time doubles with each failure in
  * a row. */
-constexpr Duration kFirstAvoidance = 500ms;
-constexpr Duration kLongestAvoidance = 4s;
+constexpr Duration kMinAvoidanceTime = 500ms;
+constexpr Duration kMaxAvoidanceTime = 4s;
 /* Time for which an endpoint is avoided after it refused a request. */
-constexpr Duration kRefusalPause = 60ms;
+constexpr Duration kRefusalAvoidanceTime = 60ms;
 
 } // namespace
 
@@ -24,23 +24,23 @@
   switch (aSign) {
     case EndpointSign::kGood:
       mFailureShare -= kFailureWeight * mFailureShare;
-      mFailuresInRow = 0;
+      mConsecutiveFailures = 0;
       break;
     case EndpointSign::kFailed:
       mFailureShare += kFailureWeight * (1.0 - mFailureShare);
-      ++mFailuresInRow;
-      if (mFailureShare > kDoubtedShare) {
-        const auto doublings = std::min<std::uint32_t>(mFailuresInRow, 4) - 1;
-        mAvoidUntil = aNow + std::min(kFirstAvoidance * (1 << doublings), kLongestAvoidance);
+      ++mConsecutiveFailures;
+      if (mFailureShare > kAvoidanceThreshold) {
+        const auto doublings = std::min<std::uint32_t>(mConsecutiveFailures, 4) - 1;
+        mAvoidedUntil = aNow + std::min(kMinAvoidanceTime * (1 << doublings), kMaxAvoidanceTime);
       }
       break;
     case EndpointSign::kRefused:
-      mAvoidUntil = std::max(mAvoidUntil, aNow + kRefusalPause);
+      mAvoidedUntil = std::max(mAvoidedUntil, aNow + kRefusalAvoidanceTime);
       break;
     case EndpointSign::kMisaddressed:
       // The endpoint's entry is outdated. An entry with another address, start time or service
       // resets this.
-      mAvoidUntil = aNow + kLongestAvoidance;
+      mAvoidedUntil = aNow + kMaxAvoidanceTime;
       break;
     case EndpointSign::kCancelled:
       break;
--- a/src/decision/fleet/endpoint_health.h
+++ b/src/decision/fleet/endpoint_health.h
@@ -28,13 +28,13 @@
   void Note(TimePoint aNow, EndpointSign aSign);
   void Reset() { *this = {}; }
   /* Returns whether requests should go to other endpoints for now. */
-  bool IsDoubted(TimePoint aNow) const { return aNow < mAvoidUntil; }
+  bool IsDoubted(TimePoint aNow) const { return aNow < mAvoidedUntil; }
   double failureShare() const { return mFailureShare; }
 
 private:
-  std::uint32_t mFailuresInRow = 0;
+  std::uint32_t mConsecutiveFailures = 0;
   double mFailureShare = 0.0; ///< Moving average of failures: 0 for none, 1 for all.
-  TimePoint mAvoidUntil{};
+  TimePoint mAvoidedUntil{};
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/order_lease.cpp
+++ b/src/decision/fleet/order_lease.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /* Time from a failed read or write to the next attempt. */
-constexpr Duration kRetryPause = 200ms;
+constexpr Duration kRetryDelay = 200ms;
 
 } // namespace
 
@@ -19,11 +19,11 @@
 
 std::optional<LeaseAction> OrderLease::Tick(TimePoint aNow)
 {
-  if (mIsBusy || aNow < mNextAction) {
+  if (mIsActionInProgress || aNow < mNextActionAt) {
     return std::nullopt;
   }
-  if (mIsUnsure) {
-    mIsBusy = true;
+  if (mIsWriteUnconfirmed) {
+    mIsActionInProgress = true;
     return ReadLease{};
   }
   return mPhase == Phase::kHeld ? TickHeld(aNow) : TickWatching(aNow);
@@ -34,31 +34,37 @@
   if (mIsReleasing) {
     return std::nullopt;
   }
-  const bool isOwn = mRow.holder == mOptions.self;
+  const bool isOwnRow = mRow.holder == mOptions.self;
   const bool isFree =
-    mIsKnown && (isOwn || (mRow.holder.empty() && aNow - mChangedAt >= mOptions.headStart));
+    mIsRowKnown &&
+    (isOwnRow || (mRow.holder.empty() && aNow - mRowChangedAt >= mOptions.headStart));
   // Reads must have returned the same row for a while. After an outage of the store that prevented
   // renewals, this gives the holder the time to renew before another daemon takes over.
-  const bool isSilent = mIsKnown && aNow - mHeardAt >= mOptions.patience + mOptions.headStart &&
-                        mSameSince && aNow - *mSameSince >= mOptions.proof;
-  if (isFree || isSilent) {
+  const bool isHolderTimedOut =
+    mIsRowKnown && aNow - mHolderSeenAt >= mOptions.takeoverDelay + mOptions.headStart &&
+    mRowUnchangedSince && aNow - *mRowUnchangedSince >= mOptions.unchangedRowTime;
+  if (isFree || isHolderTimedOut) {
     // The last known row may be outdated. The store rejects the write unless the version matches.
-    mPhase = Phase::kTaking;
-    mIsBusy = true;
-    mSentAt = aNow;
+    mPhase = Phase::kAcquiring;
+    mIsActionInProgress = true;
+    mWriteSentAt = aNow;
     const bool isFirst = mVersion.value == 0;
-    const bool isContinued = isOwn && mRow.hasWaited; // No other daemon has sent orders since.
+    // The row shows this daemon as a holder that could send orders. No other one has done so since.
+    const bool wasLastToOrder = isOwnRow && mRow.hasWaited;
     // A holder sends no orders from when it releases the lease, before the row shows the release.
-    const Duration window = mRow.holder.empty() ? Duration::zero() : mOptions.orderWindow;
-    mOrdersFrom =
-      isFirst || isContinued ? aNow : mChangedAt + window + mOptions.flight + mOptions.spacing;
-    mWriting = OwnRow(aNow);
-    return WriteLease{ mWriting, mVersion };
-  }
-  const bool isHeld = mIsKnown && !mRow.holder.empty();
-  if (!isHeld || aNow - mHeardAt >= mOptions.silence) {
-    mIsBusy = true;
-    mNextAction = aNow + mOptions.look;
+    const Duration formerOrderWindow =
+      mRow.holder.empty() ? Duration::zero() : mOptions.orderWindow;
+    mOrdersAllowedFrom =
+      isFirst || wasLastToOrder
+        ? aNow
+        : mRowChangedAt + formerOrderWindow + mOptions.orderDeliveryTime + mOptions.spacing;
+    mRowBeingWritten = MakeOwnRow(aNow);
+    return WriteLease{ mRowBeingWritten, mVersion };
+  }
+  const bool isHeld = mIsRowKnown && !mRow.holder.empty();
+  if (!isHeld || aNow - mHolderSeenAt >= mOptions.heartbeatTimeout) {
+    mIsActionInProgress = true;
+    mNextActionAt = aNow + mOptions.readInterval;
     return ReadLease{};
   }
   return std::nullopt;
@@ -66,119 +72,119 @@
 
 std::optional<LeaseAction> OrderLease::TickHeld(TimePoint aNow)
 {
-  mIsBusy = true;
-  mSentAt = aNow;
-  mNextAction = aNow + mOptions.renewal;
-  mWriting = OwnRow(aNow);
+  mIsActionInProgress = true;
+  mWriteSentAt = aNow;
+  mNextActionAt = aNow + mOptions.renewalInterval;
+  mRowBeingWritten = MakeOwnRow(aNow);
   if (mIsReleasing) {
-    mWriting.holder = {};
+    mRowBeingWritten.holder = {};
   }
-  return WriteLease{ mWriting, mVersion };
+  return WriteLease{ mRowBeingWritten, mVersion };
 }
 
-LeaseRow OrderLease::OwnRow(TimePoint aNow) const
+LeaseRow OrderLease::MakeOwnRow(TimePoint aNow) const
 {
   return { .holder = mOptions.self,
            .incarnation = mOptions.incarnation,
            .address = mOptions.address,
-           .hasWaited = aNow >= mOrdersFrom,
+           .hasWaited = aNow >= mOrdersAllowedFrom,
            .renewals = mRow.renewals + 1 };
 }
 
-void OrderLease::See(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
+void OrderLease::UpdateRow(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
 {
-  if (mIsKnown && aVersion < mVersion) {
+  if (mIsRowKnown && aVersion < mVersion) {
     return; // The row that this daemon knows is newer.
   }
-  if (!mIsKnown || aVersion != mVersion) {
-    mChangedAt = aNow;
-    mHeardAt = aNow;
+  if (!mIsRowKnown || aVersion != mVersion) {
+    mRowChangedAt = aNow;
+    mHolderSeenAt = aNow;
   }
-  mIsKnown = true;
+  mIsRowKnown = true;
   mRow = aRow;
   mVersion = aVersion;
 }
 
-void OrderLease::Lose()
+void OrderLease::LoseLease()
 {
   mPhase = Phase::kWatching;
-  mConfirmedAt = {};
+  mConfirmedWriteSentAt = {};
 }
 
 void OrderLease::OnRead(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
 {
-  mIsBusy = false;
-  const bool wasUnsure = std::exchange(mIsUnsure, false);
-  if (wasUnsure && aRow == mWriting && aRow.incarnation == mOptions.incarnation) {
+  mIsActionInProgress = false;
+  const bool wasWriteUnconfirmed = std::exchange(mIsWriteUnconfirmed, false);
+  if (wasWriteUnconfirmed && aRow == mRowBeingWritten && aRow.incarnation == mOptions.incarnation) {
     // The write with the unknown result has succeeded.
-    mIsBusy = true;
+    mIsActionInProgress = true;
     OnWritten(aNow, aVersion);
     return;
   }
   if (mPhase != Phase::kWatching && aVersion != mVersion) {
-    Lose();
+    LoseLease();
   }
-  if (mPhase == Phase::kTaking) {
+  if (mPhase == Phase::kAcquiring) {
     mPhase = Phase::kWatching;
   }
-  if (!mSameSince || aVersion != mVersion) {
-    mSameSince = aNow;
+  if (!mRowUnchangedSince || aVersion != mVersion) {
+    mRowUnchangedSince = aNow;
   }
-  See(aNow, aRow, aVersion);
+  UpdateRow(aNow, aRow, aVersion);
 }
 
 void OrderLease::OnReadFailed(TimePoint aNow)
 {
-  mIsBusy = false;
-  mSameSince.reset();
-  mNextAction = aNow + kRetryPause;
+  mIsActionInProgress = false;
+  mRowUnchangedSince.reset();
+  mNextActionAt = aNow + kRetryDelay;
 }
 
 void OrderLease::OnWritten(TimePoint aNow, RowVersion aVersion)
 {
-  mIsBusy = false;
-  mRow = mWriting;
+  mIsActionInProgress = false;
+  mRow = mRowBeingWritten;
   mVersion = aVersion;
-  mChangedAt = aNow;
-  mHeardAt = aNow;
+  mRowChangedAt = aNow;
+  mHolderSeenAt = aNow;
   if (mRow.holder.empty()) {
-    Lose();
+    LoseLease();
     return;
   }
   if (mPhase != Phase::kHeld) {
     mPhase = Phase::kHeld;
     mFence = { aVersion.value };
   }
-  mConfirmedAt = mSentAt;
-  mNextAction = mSentAt + mOptions.renewal;
+  mConfirmedWriteSentAt = mWriteSentAt;
+  mNextActionAt = mWriteSentAt + mOptions.renewalInterval;
 }
 
 void OrderLease::OnConflict(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
 {
-  mIsBusy = false;
+  mIsActionInProgress = false;
   if (aRow.incarnation == mOptions.incarnation && aRow.holder == mOptions.self &&
       aRow.renewals >= mRow.renewals) {
     // An earlier write of this process took effect late, so the row is still this daemon's own.
     mRow = aRow;
     mVersion = aVersion;
-    mChangedAt = aNow;
-    mHeardAt = aNow;
+    mRowChangedAt = aNow;
+    mHolderSeenAt = aNow;
     if (mPhase != Phase::kHeld) {
       mPhase = Phase::kHeld;
       mFence = { aVersion.value };
     }
     return;
   }
-  Lose();
-  See(aNow, aRow, aVersion);
+  LoseLease();
+  UpdateRow(aNow, aRow, aVersion);
 }
 
-void OrderLease::OnWriteFailed(TimePoint aNow, bool aMayHaveBeenDone)
+void OrderLease::OnWriteFailed(TimePoint aNow, bool aMayHaveSucceeded)
 {
-  mIsBusy = false;
-  mIsUnsure = mIsUnsure || aMayHaveBeenDone;
-  mNextAction = aNow + kRetryPause;
-  if (mPhase == Phase::kTaking && !aMayHaveBeenDone) {
+  mIsActionInProgress = false;
+  mIsWriteUnconfirmed = mIsWriteUnconfirmed || aMayHaveSucceeded;
+  mNextActionAt = aNow + kRetryDelay;
+  if (mPhase == Phase::kAcquiring && !aMayHaveSucceeded) {
     mPhase = Phase::kWatching;
   }
 }
@@ -188,25 +194,26 @@
                                RowVersion aVersion,
                                HolderState aState)
 {
-  if (mPhase != Phase::kWatching || (mIsKnown && aVersion < mVersion)) {
+  if (mPhase != Phase::kWatching || (mIsRowKnown && aVersion < mVersion)) {
     return;
   }
-  See(aNow, aRow, aVersion);
+  UpdateRow(aNow, aRow, aVersion);
   if (aState == HolderState::kRenewing) {
-    mHeardAt = aNow;
-    mSameSince.reset();
+    mHolderSeenAt = aNow;
+    mRowUnchangedSince.reset();
   }
 }
 
 HolderState OrderLease::state(TimePoint aNow) const
 {
-  return aNow - mConfirmedAt < mOptions.patience ? HolderState::kRenewing : HolderState::kStalled;
+  return aNow - mConfirmedWriteSentAt < mOptions.takeoverDelay ? HolderState::kRenewing
+                                                               : HolderState::kStalled;
 }
 
 bool OrderLease::MayOrder(TimePoint aNow) const
 {
-  return mPhase == Phase::kHeld && !mIsReleasing && aNow >= mOrdersFrom &&
-         aNow < mConfirmedAt + mOptions.orderWindow;
+  return mPhase == Phase::kHeld && !mIsReleasing && aNow >= mOrdersAllowedFrom &&
+         aNow < mConfirmedWriteSentAt + mOptions.orderWindow;
 }
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -30,15 +30,17 @@
   DaemonId self;
   IncarnationId incarnation;
   std::string address;
-  Duration spacing = 3s;    ///< Minimum time between orders of two different holders.
-  Duration renewal = 700ms; ///< Time between renewals.
+  Duration spacing = 3s;            ///< Minimum time between orders of two different holders.
+  Duration renewalInterval = 700ms; ///< Time between renewals.
   /* Time in which orders may be sent, from the sending of the last confirmed renewal. */
   Duration orderWindow = 1'200ms;
-  Duration patience = 2'200ms; ///< Time without a sign of the holder before a takeover.
-  Duration flight = 200ms;     ///< Longest time that an order takes to reach its runner.
-  Duration proof = 1'200ms;    ///< Before a takeover, reads must return the same row for this time.
-  Duration silence = 1'100ms;  ///< Time without a sign of the holder after which the row is read.
-  Duration look = 400ms;       ///< Time between these reads.
+  Duration takeoverDelay = 2'200ms;   ///< Time without heartbeat or row change before a takeover.
+  Duration orderDeliveryTime = 200ms; ///< Longest time that an order takes to reach its runner.
+  /* Before a takeover, reads must return the same row for this time. */
+  Duration unchangedRowTime = 1'200ms;
+  /* Time without heartbeat or row change after which the row is read. */
+  Duration heartbeatTimeout = 1'100ms;
+  Duration readInterval = 400ms; ///< Time between these reads.
   /* Additional wait before this daemon takes a free or expired lease. Hosts with little processor
    * time set it, so that better equipped hosts get the lease first. */
   Duration headStart{};
@@ -92,7 +94,7 @@
   /* A write was rejected because the row has another version. The arguments are the current row. */
   void OnConflict(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
   /* A write failed. If its result is unknown, the next action is a read that finds out. */
-  void OnWriteFailed(TimePoint aNow, bool aMayHaveBeenDone);
+  void OnWriteFailed(TimePoint aNow, bool aMayHaveSucceeded);
   /* A heartbeat of the holder has arrived, with the row and version that the holder knows. */
   void OnHolderHeard(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion, HolderState aState);
   /* Releases the lease because the daemon shuts down. The next renewal clears the holder. */
@@ -114,13 +116,13 @@
   enum class Phase : std::uint8_t
   {
     kWatching,
-    kTaking,
+    kAcquiring,
     kHeld,
   };
 
-  void See(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
-  void Lose();
-  LeaseRow OwnRow(TimePoint aNow) const;
+  void UpdateRow(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
+  void LoseLease();
+  LeaseRow MakeOwnRow(TimePoint aNow) const;
   std::optional<LeaseAction> TickWatching(TimePoint aNow);
   std::optional<LeaseAction> TickHeld(TimePoint aNow);
 
@@ -129,18 +131,18 @@
   LeaseRow mRow;
   RowVersion mVersion;
   Fence mFence;
-  bool mIsBusy = false;   ///< A read or write is in progress.
-  bool mIsKnown = false;  ///< The row was read, or arrived with a heartbeat.
-  bool mIsUnsure = false; ///< The result of a write is unknown, so the row must be read.
+  bool mIsActionInProgress = false; ///< A read or write is in progress.
+  bool mIsRowKnown = false;         ///< The row was read, or arrived with a heartbeat.
+  bool mIsWriteUnconfirmed = false; ///< The result of a write is unknown, so the row must be read.
   bool mIsReleasing = false;
-  LeaseRow mWriting;
-  TimePoint mChangedAt{};              ///< When this daemon last saw a new version of the row.
-  std::optional<TimePoint> mSameSince; ///< Since when all reads have returned this row.
-  TimePoint mHeardAt{};     ///< Last heartbeat of a renewing holder, or last change of the row.
-  TimePoint mSentAt{};      ///< When the last write was sent.
-  TimePoint mConfirmedAt{}; ///< When the last write that the store confirmed was sent.
-  TimePoint mOrdersFrom{};  ///< End of the wait after orders of former holders.
-  TimePoint mNextAction{};
+  LeaseRow mRowBeingWritten;
+  TimePoint mRowChangedAt{}; ///< When this daemon last saw a new version of the row.
+  std::optional<TimePoint> mRowUnchangedSince; ///< Since when all reads have returned this row.
+  TimePoint mHolderSeenAt{}; ///< Last heartbeat of a renewing holder, or last change of the row.
+  TimePoint mWriteSentAt{};  ///< When the last write was sent.
+  TimePoint mConfirmedWriteSentAt{}; ///< When the last write that the store confirmed was sent.
+  TimePoint mOrdersAllowedFrom{};    ///< End of the wait after orders of former holders.
+  TimePoint mNextActionAt{};
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/pace.h
+++ b/src/decision/fleet/pace.h
@@ -25,24 +25,27 @@
 
   /* Adjusts the model's factor by the expected and the measured time from sending a request to its
    * first event. A measured time of 0 means that there was no event and is ignored. */
-  void Note(const ModelId& aModel, Duration aExpected, Duration aSeen)
+  void Note(const ModelId& aModel, Duration aExpected, Duration aMeasured)
   {
-    if (aSeen <= Duration::zero()) {
+    if (aMeasured <= Duration::zero()) {
       return;
     }
-    const double expected = std::max<double>(static_cast<double>(aExpected.count()), kLeastUs);
-    const double seen = std::max<double>(static_cast<double>(aSeen.count()), kLeastUs);
-    const double ratio = std::clamp(seen / expected, 1.0 / kLargestStep, kLargestStep);
+    const double expected =
+      std::max<double>(static_cast<double>(aExpected.count()), kMinDurationUs);
+    const double measured =
+      std::max<double>(static_cast<double>(aMeasured.count()), kMinDurationUs);
+    const double ratio = std::clamp(measured / expected, 1.0 / kMaxSampleRatio, kMaxSampleRatio);
     double& factor = mFactors.try_emplace(aModel, 1.0).first->second;
-    factor = std::clamp(factor * std::pow(ratio, kWeight), kLeastFactor, kLargestFactor);
+    factor = std::clamp(factor * std::pow(ratio, kSampleWeight), kMinFactor, kMaxFactor);
   }
 
 private:
-  static constexpr double kLeastUs = 5'000.0; ///< Shorter times, in microseconds, count as this.
-  static constexpr double kLargestStep = 3.0; ///< Limit of one sample's ratio and its inverse.
-  static constexpr double kWeight = 0.08;     ///< Exponent that a sample's ratio is raised to.
-  static constexpr double kLeastFactor = 0.15;
-  static constexpr double kLargestFactor = 4.0;
+  /* Shorter times, in microseconds, count as this. */
+  static constexpr double kMinDurationUs = 5'000.0;
+  static constexpr double kMaxSampleRatio = 3.0; ///< Limit of one sample's ratio and its inverse.
+  static constexpr double kSampleWeight = 0.08;  ///< Exponent that a sample's ratio is raised to.
+  static constexpr double kMinFactor = 0.15;
+  static constexpr double kMaxFactor = 4.0;
 
   std::map<ModelId, double> mFactors;
 };
--- a/src/decision/fleet/prompt_cache.cpp
+++ b/src/decision/fleet/prompt_cache.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /* Returns the key of an empty prompt. Each model and adapter has its own cached prompts. */
-std::uint64_t FirstKey(const ModelRef& aModel)
+std::uint64_t InitialKey(const ModelRef& aModel)
 {
   const std::string name = aModel.model.str() + "/" + aModel.adapter.str();
   return XXH3_64bits(name.data(), name.size());
@@ -17,7 +17,7 @@
 
 /* Returns the key of a prompt that one more part follows. It depends on all parts before, because a
  * cached part can be reused only behind the same beginning. */
-std::uint64_t NextKey(std::uint64_t aKey, const PromptPart& aPart)
+std::uint64_t ExtendKey(std::uint64_t aKey, const PromptPart& aPart)
 {
   return XXH3_64bits_withSeed(&aPart.id, sizeof(aPart.id), aKey);
 }
@@ -26,33 +26,33 @@
 
 std::uint32_t PromptCache::KeptTokens(const ModelWork& aWork) const
 {
-  std::uint64_t key = FirstKey(aWork.target);
-  std::uint32_t kept = 0;
+  std::uint64_t key = InitialKey(aWork.target);
+  std::uint32_t cachedTokens = 0;
   for (const PromptPart& part : aWork.parts) {
-    key = NextKey(key, part);
+    key = ExtendKey(key, part);
     if (!mIndex.contains(key)) {
       break;
     }
-    kept += part.tokens;
+    cachedTokens += part.tokens;
   }
-  return kept;
+  return cachedTokens;
 }
 
 void PromptCache::Note(const ModelWork& aWork)
 {
-  std::uint64_t key = FirstKey(aWork.target);
+  std::uint64_t key = InitialKey(aWork.target);
   for (const PromptPart& part : aWork.parts) {
-    key = NextKey(key, part);
+    key = ExtendKey(key, part);
     if (const auto found = mIndex.find(key); found != mIndex.end()) {
       mParts.splice(mParts.begin(), mParts, found->second);
       continue;
     }
     mParts.push_front({ .key = key, .tokens = part.tokens, .model = aWork.target.model });
     mIndex.emplace(key, mParts.begin());
-    mTokens += part.tokens;
+    mCachedTokens += part.tokens;
   }
-  while (mTokens > mCapacity && !mParts.empty()) {
-    mTokens -= mParts.back().tokens;
+  while (mCachedTokens > mCapacity && !mParts.empty()) {
+    mCachedTokens -= mParts.back().tokens;
     mIndex.erase(mParts.back().key);
     mParts.pop_back();
   }
@@ -65,7 +65,7 @@
       ++part;
       continue;
     }
-    mTokens -= part->tokens;
+    mCachedTokens -= part->tokens;
     mIndex.erase(part->key);
     part = mParts.erase(part);
   }
@@ -75,7 +75,7 @@
 {
   mParts.clear();
   mIndex.clear();
-  mTokens = 0;
+  mCachedTokens = 0;
 }
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/prompt_cache.h
+++ b/src/decision/fleet/prompt_cache.h
@@ -35,7 +35,7 @@
   };
 
   std::uint64_t mCapacity = 0;
-  std::uint64_t mTokens = 0;
+  std::uint64_t mCachedTokens = 0;
   std::list<Part> mParts; ///< Ordered from the most to the least recently used.
   std::unordered_map<std::uint64_t, std::list<Part>::iterator> mIndex;
 };
--- a/src/decision/fleet/retry_share.cpp
+++ b/src/decision/fleet/retry_share.cpp
@@ -9,20 +9,21 @@
 
 /* Fraction of the limit that is used. The rest is a margin, because others count the same requests
  * and retries a little differently and at other times. */
-constexpr double kUsedPart = 0.8;
+constexpr double kUsedFraction = 0.8;
 
 } // namespace
 
 std::int64_t RetryShare::SliceNumber(TimePoint aNow) const
 {
-  const Duration slice = std::max<Duration>(mOptions.window / kSlices, Duration{ 1 });
+  const Duration slice = std::max<Duration>(mOptions.window / kSlicesPerWindow, Duration{ 1 });
   return aNow.time_since_epoch() / slice;
 }
 
-RetryShare::Slice& RetryShare::Current(TimePoint aNow, const ServiceId& aService)
+RetryShare::Slice& RetryShare::CurrentSlice(TimePoint aNow, const ServiceId& aService)
 {
   const std::int64_t number = SliceNumber(aNow);
-  Slice& slice = mUsages[aService].slices[static_cast<std::size_t>(number) % (kSlices + 1)];
+  Slice& slice =
+    mUsageByService[aService].slices[static_cast<std::size_t>(number) % (kSlicesPerWindow + 1)];
   if (slice.number != number) {
     slice = { .number = number };
   }
@@ -31,7 +32,7 @@
 
 void RetryShare::NoteRequest(TimePoint aNow, const ServiceId& aService)
 {
-  ++Current(aNow, aService).requests;
+  ++CurrentSlice(aNow, aService).requests;
 }
 
 double RetryShare::Left(TimePoint aNow, const ServiceId& aService) const
@@ -39,17 +40,17 @@
   const std::int64_t newest = SliceNumber(aNow);
   double requests = 0.0;
   double retries = 0.0;
-  if (const auto found = mUsages.find(aService); found != mUsages.end()) {
+  if (const auto found = mUsageByService.find(aService); found != mUsageByService.end()) {
     for (const Slice& slice : found->second.slices) {
-      if (slice.number < 0 || newest - slice.number > static_cast<std::int64_t>(kSlices)) {
+      if (slice.number < 0 || newest - slice.number > static_cast<std::int64_t>(kSlicesPerWindow)) {
         continue;
       }
       requests += slice.requests;
       retries += slice.retries;
     }
   }
-  const double share = mOptions.slack / std::max<std::uint32_t>(mOptions.daemons, 1);
-  return kUsedPart * (mOptions.ratio * requests + share) - retries;
+  const double slackShare = mOptions.slack / std::max<std::uint32_t>(mOptions.daemons, 1);
+  return kUsedFraction * (mOptions.ratio * requests + slackShare) - retries;
 }
 
 bool RetryShare::Take(TimePoint aNow, const ServiceId& aService)
@@ -57,7 +58,7 @@
   if (Left(aNow, aService) < 1.0) {
     return false;
   }
-  ++Current(aNow, aService).retries;
+  ++CurrentSlice(aNow, aService).retries;
   return true;
 }
 
--- a/src/decision/fleet/retry_share.h
+++ b/src/decision/fleet/retry_share.h
@@ -36,7 +36,7 @@
 private:
   /* The window is counted in slices, with one slice more than the window has, so that the counts
    * cover at least the last window at any time. */
-  static constexpr std::size_t kSlices = 10;
+  static constexpr std::size_t kSlicesPerWindow = 10;
   struct Slice
   {
     std::int64_t number = -1; ///< Time since the clock's epoch, in slices. -1: not used yet.
@@ -45,14 +45,14 @@
   };
   struct Usage
   {
-    Slice slices[kSlices + 1]; // NOLINT(modernize-avoid-c-arrays)
+    Slice slices[kSlicesPerWindow + 1]; // NOLINT(modernize-avoid-c-arrays)
   };
 
-  Slice& Current(TimePoint aNow, const ServiceId& aService);
+  Slice& CurrentSlice(TimePoint aNow, const ServiceId& aService);
   std::int64_t SliceNumber(TimePoint aNow) const;
 
   RetryShareOptions mOptions;
-  std::map<ServiceId, Usage> mUsages;
+  std::map<ServiceId, Usage> mUsageByService;
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/runner_registry.cpp
+++ b/src/decision/fleet/runner_registry.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 /* Age at which a load that an endpoint reported is no longer used. */
-constexpr Duration kLoadLifetime = 400ms;
+constexpr Duration kMaxReportedLoadAge = 400ms;
 /* Time for which a runner without an entry is kept, so that answers still in flight find it. */
-constexpr Duration kForgetAfter = 60s;
+constexpr Duration kRemovedRunnerRetention = 60s;
 
-bool Holds(const RunnerEntry& aEntry, const ModelRef& aModel)
+bool HasLoaded(const RunnerEntry& aEntry, const ModelRef& aModel)
 {
   const auto found = aEntry.holdings.models.find(aModel.model);
   return found != aEntry.holdings.models.end() &&
@@ -43,7 +43,7 @@
   runner.missingSince.reset();
   if (isRestarted) {
     runner.load = {};
-    runner.loadAt = {};
+    runner.loadReportedAt = {};
     runner.health.Reset();
     return Change::kRestarted;
   }
@@ -59,7 +59,7 @@
   std::erase_if(mRunners, [&](const auto& aItem) {
     const KnownRunner& runner = aItem.second;
     return runner.missingSince && runner.inFlight == 0 &&
-           aNow - *runner.missingSince > kForgetAfter;
+           aNow - *runner.missingSince > kRemovedRunnerRetention;
   });
 }
 
@@ -85,7 +85,7 @@
 {
   if (const auto found = mRunners.find(aRunner); found != mRunners.end()) {
     found->second.load = aLoad;
-    found->second.loadAt = aNow;
+    found->second.loadReportedAt = aNow;
   }
 }
 
@@ -96,7 +96,7 @@
   }
   // An entry that expired while the store was unreachable may return, so it does not count as
   // gone yet.
-  return mRegainedAt && aNow >= *mRegainedAt + kLapsedEntryGrace;
+  return mStoreReachableSince && aNow >= *mStoreReachableSince + kExpiredEntryGracePeriod;
 }
 
 Exclusion RunnerRegistry::Check(TimePoint aNow, const KnownRunner& aRunner) const
@@ -107,10 +107,10 @@
   if (aRunner.entry.state == RunnerState::kDraining) {
     return Exclusion::kLeaving;
   }
-  return aRunner.health.IsDoubted(aNow) ? Exclusion::kDoubted : Exclusion::kNone;
+  return aRunner.health.IsDoubted(aNow) ? Exclusion::kAvoided : Exclusion::kNone;
 }
 
-std::optional<EndpointId> RunnerRegistry::Choose(TimePoint aNow, const Wanted& aWanted) const
+std::optional<EndpointId> RunnerRegistry::Choose(TimePoint aNow, const EndpointQuery& aQuery) const
 {
   // Endpoints rank by: not avoided, least load, same zone. The last member breaks ties by a hash of
   // the affinity and the endpoint. Otherwise many daemons that see the same idle endpoint would all
@@ -119,21 +119,21 @@
   std::optional<Rank> best;
   std::optional<EndpointId> chosen;
   for (const auto& [id, runner] : mRunners) {
-    if (runner.entry.service != aWanted.service ||
-        (aWanted.excluded != nullptr && aWanted.excluded->contains(id)) ||
-        (aWanted.model != nullptr && !Holds(runner.entry, *aWanted.model))) {
+    if (runner.entry.service != aQuery.service ||
+        (aQuery.excluded != nullptr && aQuery.excluded->contains(id)) ||
+        (aQuery.model != nullptr && !HasLoaded(runner.entry, *aQuery.model))) {
       continue;
     }
     const Exclusion exclusion = Check(aNow, runner);
     if (exclusion == Exclusion::kLeaving || exclusion == Exclusion::kGone) {
       continue;
     }
-    const bool isLoadFresh = aNow - runner.loadAt < kLoadLifetime;
-    const std::uint32_t stated = isLoadFresh ? runner.load.running + runner.load.waiting : 0;
-    const std::uint32_t load = std::max(stated, runner.inFlight);
-    const std::uint64_t spread = ~RendezvousWeight(std::to_string(aWanted.affinity), id.str());
+    const bool isLoadFresh = aNow - runner.loadReportedAt < kMaxReportedLoadAge;
+    const std::uint32_t reportedLoad = isLoadFresh ? runner.load.running + runner.load.waiting : 0;
+    const std::uint32_t load = std::max(reportedLoad, runner.inFlight);
+    const std::uint64_t tieBreaker = ~RendezvousWeight(std::to_string(aQuery.affinity), id.str());
     const Rank rank{
-      exclusion == Exclusion::kDoubted, load, runner.entry.zone != aWanted.zone, spread
+      exclusion == Exclusion::kAvoided, load, runner.entry.zone != aQuery.zone, tieBreaker
     };
     if (!best || rank < *best) {
       best = rank;
--- a/src/decision/fleet/runner_registry.h
+++ b/src/decision/fleet/runner_registry.h
@@ -16,7 +16,7 @@
 /* Time after the store is reachable again within which entries return that expired during the
  * outage. The operators of the store state about 2 s. The rest allows for the delay until this
  * daemon sees them. */
-constexpr Duration kLapsedEntryGrace = 2'300ms;
+constexpr Duration kExpiredEntryGracePeriod = 2'300ms;
 
 /* An endpoint with the state that this daemon keeps of it. */
 struct KnownRunner
@@ -26,7 +26,7 @@
   std::optional<TimePoint> missingSince; ///< Since when the endpoint has no entry.
   std::uint32_t inFlight = 0;            ///< Requests of this daemon in flight at the endpoint.
   StatedLoad load;
-  TimePoint loadAt{}; ///< When the endpoint reported the load.
+  TimePoint loadReportedAt{}; ///< When the endpoint reported the load.
   EndpointHealth health;
 };
 
@@ -36,7 +36,7 @@
   kNone,
   kLeaving, ///< It is draining.
   kGone,    ///< It has no entry any more.
-  kDoubted, ///< It is avoided because requests failed there or were refused.
+  kAvoided, ///< It is avoided because requests failed there or were refused.
 };
 
 class RunnerRegistry
@@ -57,8 +57,8 @@
   /* Records that a runner's entry is no longer in the store. */
   void Remove(TimePoint aNow, const EndpointId& aRunner);
   /* Records that the store is reachable again after an outage. */
-  void OnStoreRegained(TimePoint aNow) { mRegainedAt = aNow; }
-  void OnStoreLost() { mRegainedAt.reset(); }
+  void OnStoreRegained(TimePoint aNow) { mStoreReachableSince = aNow; }
+  void OnStoreLost() { mStoreReachableSince.reset(); }
 
   /* Record the start and the end of a request at a runner. */
   void NoteStart(const EndpointId& aRunner);
@@ -70,7 +70,7 @@
   Exclusion Check(TimePoint aNow, const KnownRunner& aRunner) const;
 
   /* The request that an endpoint is chosen for. */
-  struct Wanted
+  struct EndpointQuery
   {
     ServiceId service;
     ZoneId zone;
@@ -81,7 +81,7 @@
 
   /* Returns the endpoint that is expected to answer first, or nothing if none is usable. An
    * endpoint that is avoided is chosen only when there is no other. */
-  std::optional<EndpointId> Choose(TimePoint aNow, const Wanted& aWanted) const;
+  std::optional<EndpointId> Choose(TimePoint aNow, const EndpointQuery& aQuery) const;
 
   const KnownRunner* Find(const EndpointId& aRunner) const;
   const std::map<EndpointId, KnownRunner>& runners() const { return mRunners; }
@@ -90,7 +90,8 @@
   bool IsGone(TimePoint aNow, const KnownRunner& aRunner) const;
 
   std::map<EndpointId, KnownRunner> mRunners;
-  std::optional<TimePoint> mRegainedAt{ TimePoint{} }; ///< Empty while the store is unreachable.
+  /* Empty while the store is unreachable. */
+  std::optional<TimePoint> mStoreReachableSince{ TimePoint{} };
 };
 
 } // namespace rhubarbtrail::fleet
--- a/tests/fleet/fleet_parts_test.cpp
+++ b/tests/fleet/fleet_parts_test.cpp
@@ -165,7 +165,7 @@
   guard.NoteBreak(kStart + 2s, killer);
   CHECK(guard.IsConvicted(kStart + 2s, killer));
   CHECK_FALSE(guard.IsConvicted(kStart + 2s, FingerprintId{ "other" }));
-  CHECK_FALSE(guard.IsConvicted(kStart + 2s + 2 * kSuspicionTime, killer));
+  CHECK_FALSE(guard.IsConvicted(kStart + 2s + 2 * kCrashCountLifetime, killer));
   guard.NoteAnswer(killer);
   CHECK_FALSE(guard.IsConvicted(kStart + 2s, killer));
 }
