--- a/src/decision/fleet/dispatch_type.h
+++ b/src/decision/fleet/dispatch_type.h
@@ -67,7 +67,7 @@
 enum class PlaceEnd : std::uint8_t
 {
   kWithdrawn, ///< The daemon does not need the assignment any more.
-  kDone,      ///< The runner answered completely, or the client went away.
+  kDone,      ///< The runner answered completely, or the daemon cancelled the attempt.
   kRefused,   ///< The runner refused the request without running it.
   kFailed,    ///< There was no valid answer, or the answer broke off.
   kLost,      ///< The runner could not be reached or is no longer usable.
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -38,11 +38,13 @@
   Duration orderDeliveryTime = 200ms; ///< Longest time that an order takes to reach its runner.
   /* Before a takeover, reads must return the same row for this time. */
   Duration unchangedRowTime = 1'200ms;
-  /* Time without heartbeat or row change after which the row is read. */
+  /* Time without heartbeat or row change after which the row is read. While no daemon holds the
+   * lease, the row is read without this wait. */
   Duration heartbeatTimeout = 1'100ms;
   Duration readInterval = 400ms; ///< Time between these reads.
   /* Additional wait before this daemon takes a free or expired lease. Hosts with little processor
-   * time set it, so that better equipped hosts get the lease first. */
+   * time set it, so that better equipped hosts get the lease first. There is no wait when the row
+   * still names this daemon as the holder. */
   Duration headStart{};
 };
 
