--- a/src/decision/fleet/attempt_policy.h
+++ b/src/decision/fleet/attempt_policy.h
@@ -10,11 +10,12 @@
 
 namespace rhubarbtrail::fleet {
 
-/* The result of an attempt. */
+/* The result of an attempt. An answer is signed if it carries a signature of the endpoint, which
+ * the caller does not verify. */
 enum class AttemptEnd : std::uint8_t
 {
-  kAnswered,  ///< A complete answer with a valid signature.
-  kFailure,   ///< A complete answer with a valid signature and a 5xx status. The request has run.
+  kAnswered,  ///< A complete, signed answer.
+  kFailure,   ///< A complete, signed answer with a 5xx status. The request has run.
   kNotSent,   ///< No byte of the request was sent.
   kNotRun,    ///< The endpoint states that it has not run the request.
   kLost,      ///< No complete and valid answer. The request may have run.
