--- a/src/decision/fleet/attempt_policy.cpp
+++ b/src/decision/fleet/attempt_policy.cpp
@@ -1,20 +1,21 @@
-/* What follows an attempt at an endpoint. */
+/* Decides whether a request is sent again after an attempt, and otherwise what the client gets. */
 #include "decision/fleet/attempt_policy.h"
 
 namespace rhubarbtrail::fleet {
 
 namespace {
 
-/* Refusals after which a request is given up: each is an arrival at an endpoint. */
+/* Number of attempts that have not run after which a request is given up. It is limited because
+ * each attempt is one more arrival at an endpoint. */
 constexpr std::uint32_t kRefusalLimit = 4;
-/* Time below which another attempt cannot bring an answer. */
-constexpr Duration kShortestAttempt = 20ms;
+/* No further attempt is made with this time left or less, because no answer could arrive in it. */
+constexpr Duration kMinAttemptTime = 20ms;
 
 bool MayRunAgain(const AttemptState& aState)
 {
   const bool isRepeatable = aState.kind == RouteKind::kIdempotent || aState.isResumable;
   return isRepeatable && aState.runs < aState.maxAttempts && !aState.isConvicted &&
-         aState.timeLeft > kShortestAttempt;
+         aState.timeLeft > kMinAttemptTime;
 }
 
 } // namespace
@@ -47,7 +48,7 @@
       return MayRunAgain(aState) ? NextStep::kTryAgain : NextStep::kPassOn;
     case AttemptEnd::kNotSent:
     case AttemptEnd::kNotRun:
-      if (aState.refusals < kRefusalLimit && aState.timeLeft > kShortestAttempt) {
+      if (aState.refusals < kRefusalLimit && aState.timeLeft > kMinAttemptTime) {
         return NextStep::kTryAgain;
       }
       return aState.runs == 0 ? NextStep::kRefuse : NextStep::kFail;
--- a/src/decision/fleet/demand.h
+++ b/src/decision/fleet/demand.h
@@ -1,4 +1,4 @@
-/* How often each model is asked for, and how much work that is. */
+/* Tracks the rate of requests for each model and the runner time that these requests need. */
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
 #define RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
 
@@ -12,7 +12,7 @@
 
 namespace rhubarbtrail::fleet {
 
-/* A moving average of events a second, with a weight each. */
+/* An exponentially decaying average of weighted events per second. */
 class DecayingRate
 {
 public:
@@ -23,76 +23,78 @@
 
   void Add(TimePoint aNow, double aWeight)
   {
-    mValue = Read(aNow) + aWeight / mTimeConstantS;
-    mAt = aNow;
+    mValue = ValueAt(aNow) + aWeight / mTimeConstantS;
+    mUpdatedAt = aNow;
   }
 
-  double Read(TimePoint aNow) const
+  double ValueAt(TimePoint aNow) const
   {
-    const double seconds = std::chrono::duration<double>(aNow - mAt).count();
+    const double seconds = std::chrono::duration<double>(aNow - mUpdatedAt).count();
     return mValue * std::exp(-seconds / mTimeConstantS);
   }
 
 private:
   double mTimeConstantS;
   double mValue = 0.0;
-  TimePoint mAt{};
+  TimePoint mUpdatedAt{};
 };
 
-/* Demand moves to other models several times in a minute. A short average follows a rise within a
- * swap or two, a long one keeps models over the gaps between their callers. */
+/* Keeps the recent demand for each model. Demand moves to other models several times a minute. A
+ * short average follows a rise within the time of one or two model swaps. A long average keeps the
+ * demand of a model up during gaps between its requests, so that the model stays loaded. */
 class DemandBook
 {
 public:
-  /* Notes a request that needs the runner for a time. */
+  /* Records a request that needs aWork of a runner's time. */
   void Note(TimePoint aNow, const ModelId& aModel, Duration aWork)
   {
-    Entry& entry = mEntries[aModel];
+    ModelDemand& demand = mDemandByModel[aModel];
     const double work = std::chrono::duration<double>(aWork).count();
-    entry.rate.Add(aNow, 1.0);
-    entry.longWork.Add(aNow, work);
-    entry.shortWork.Add(aNow, work);
+    demand.requestRate.Add(aNow, 1.0);
+    demand.longTermWork.Add(aNow, work);
+    demand.shortTermWork.Add(aNow, work);
   }
 
-  /* Returns requests a second. */
+  /* Returns the requests for a model per second. */
   double Rate(TimePoint aNow, const ModelId& aModel) const
   {
-    const auto found = mEntries.find(aModel);
-    return found == mEntries.end() ? 0.0 : found->second.rate.Read(aNow);
+    const auto found = mDemandByModel.find(aModel);
+    return found == mDemandByModel.end() ? 0.0 : found->second.requestRate.ValueAt(aNow);
   }
 
-  /* Returns the work, in runners: 1 keeps one runner busy. */
+  /* Returns the number of runners that the requests for a model keep busy: the larger of both
+   * averages. */
   double Work(TimePoint aNow, const ModelId& aModel) const
   {
-    const auto found = mEntries.find(aModel);
-    return found == mEntries.end()
-             ? 0.0
-             : std::max(found->second.longWork.Read(aNow), found->second.shortWork.Read(aNow));
+    const auto found = mDemandByModel.find(aModel);
+    return found == mDemandByModel.end() ? 0.0
+                                         : std::max(found->second.longTermWork.ValueAt(aNow),
+                                                    found->second.shortTermWork.ValueAt(aNow));
   }
 
-  /* Returns the models that were asked for. */
+  /* Returns all models with a recorded request. */
   std::vector<ModelId> Models() const
   {
     std::vector<ModelId> models;
-    models.reserve(mEntries.size());
-    for (const auto& item : mEntries) {
+    models.reserve(mDemandByModel.size());
+    for (const auto& item : mDemandByModel) {
       models.push_back(item.first);
     }
     return models;
   }
 
 private:
-  static constexpr double kLongS = 6.0;
-  static constexpr double kShortS = 1.5;
+  static constexpr double kLongTimeConstantS = 6.0;
+  static constexpr double kShortTimeConstantS = 1.5;
 
-  struct Entry
+  struct ModelDemand
   {
-    DecayingRate rate{ kLongS };
-    DecayingRate longWork{ kLongS };
-    DecayingRate shortWork{ kShortS };
+    DecayingRate requestRate{ kLongTimeConstantS };
+    DecayingRate longTermWork{ kLongTimeConstantS };
+    DecayingRate shortTermWork{ kShortTimeConstantS };
   };
 
-  std::map<ModelId, Entry> mEntries;
+  std::map<ModelId, ModelDemand> mDemandByModel;
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/endpoint_health.cpp
+++ b/src/decision/fleet/endpoint_health.cpp
@@ -1,20 +1,21 @@
-/* Belief in an endpoint, from how requests went there. */
+/* Rates an endpoint by the outcomes of the requests that were sent to it. */
 #include "decision/fleet/endpoint_health.h"
 
 namespace rhubarbtrail::fleet {
 
 namespace {
 
-/* Share of each new outcome in the moving average of failures: about five outcomes tell an
- * endpoint that fails four requests in ten from one that fails one in ten. */
+/* Weight of each new outcome in the moving average of failures. With this weight, about five
+ * outcomes distinguish an endpoint that fails 4 of 10 requests from one that fails 1 of 10. */
 constexpr double kFailureWeight = 0.2;
-/* Average of failures from which an endpoint is doubted. */
-constexpr double kDoubtedShare = 0.35;
-/* First and longest time for which a doubted endpoint gets no requests. */
-constexpr Duration kFirstAvoidance = 500ms;
-constexpr Duration kLongestAvoidance = 4s;
-/* Time for which an endpoint is left alone after it refused a request. */
-constexpr Duration kRefusalPause = 60ms;
+/* An endpoint is avoided after a failure that leaves the average of failures above this value. */
+constexpr double kAvoidanceThreshold = 0.35;
+/* Shortest and longest time for which an endpoint is avoided. The time doubles with each failure in
+ * a row. */
+constexpr Duration kMinAvoidanceTime = 500ms;
+constexpr Duration kMaxAvoidanceTime = 4s;
+/* Time for which an endpoint is avoided after it refused a request. */
+constexpr Duration kRefusalAvoidanceTime = 60ms;
 
 } // namespace
 
@@ -23,22 +24,23 @@
   switch (aSign) {
     case EndpointSign::kGood:
       mFailureShare -= kFailureWeight * mFailureShare;
-      mFailuresInRow = 0;
+      mConsecutiveFailures = 0;
       break;
     case EndpointSign::kFailed:
       mFailureShare += kFailureWeight * (1.0 - mFailureShare);
-      ++mFailuresInRow;
-      if (mFailureShare > kDoubtedShare) {
-        const auto doublings = std::min<std::uint32_t>(mFailuresInRow, 4) - 1;
-        mAvoidUntil = aNow + std::min(kFirstAvoidance * (1 << doublings), kLongestAvoidance);
+      ++mConsecutiveFailures;
+      if (mFailureShare > kAvoidanceThreshold) {
+        const auto doublings = std::min<std::uint32_t>(mConsecutiveFailures, 4) - 1;
+        mAvoidedUntil = aNow + std::min(kMinAvoidanceTime * (1 << doublings), kMaxAvoidanceTime);
       }
       break;
     case EndpointSign::kRefused:
-      mAvoidUntil = std::max(mAvoidUntil, aNow + kRefusalPause);
+      mAvoidedUntil = std::max(mAvoidedUntil, aNow + kRefusalAvoidanceTime);
       break;
     case EndpointSign::kMisaddressed:
-      // Its entry is old; a new one clears this.
-      mAvoidUntil = aNow + kLongestAvoidance;
+      // The endpoint's entry is outdated. An entry with another address, start time or service
+      // resets this.
+      mAvoidedUntil = aNow + kMaxAvoidanceTime;
       break;
     case EndpointSign::kCancelled:
       break;
