--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -1,4 +1,4 @@
-/* This daemon as a member of the fleet: it finds the dispatcher, or is it. */
+/* Fleet membership of this daemon: order lease, messages between daemons, dispatcher. */
 #include "fleet/fleet_member.h"
 
 #include "core/boot_clock.h"
@@ -13,19 +13,21 @@
 
 namespace {
 
-/* Time between two looks at what is due. */
+/* Interval of the periodic work in Tick(). */
 constexpr Duration kTickInterval = 50ms;
-/* Time between two signs of life, of the dispatcher and of the others. */
+/* Intervals of the heartbeats: the dispatcher's to its members, and the hellos of the others to the
+ * dispatcher. */
 constexpr Duration kBeaconInterval = 400ms;
 constexpr Duration kHelloInterval = 800ms;
-/* Silence after which the dispatcher, or a daemon, is taken to be away. */
+/* Time without a heartbeat after which a daemon treats the dispatcher as unreachable, and time
+ * without any message after which the dispatcher removes a member. */
 constexpr Duration kDispatcherSilence = 1'300ms;
 constexpr Duration kMemberSilence = 2'500ms;
-/* Longest time for a runner to answer an order or a question about its state. */
+/* Time limits for a runner's answer to an order, for its report, and for connecting to it. */
 constexpr Duration kOrderLimit = 400ms;
 constexpr Duration kReportLimit = 400ms;
 constexpr Duration kRunnerConnectLimit = 250ms;
-/* The table and row of the lease. */
+/* Table and key of the lease row in the store. */
 constexpr const char* kFleetTable = "rhubarbtrail";
 constexpr const char* kLeaseKey = "lease";
 
@@ -195,7 +197,10 @@
   }
 }
 
-/* Logs who gives the orders, and follows changes of that. */
+/* Applies the current state of the lease. Logs a change of the holder. Clears the dispatcher's
+ * state when another holder follows this daemon. When this daemon takes the lease while it still
+ * receives another dispatcher's heartbeats, sends its open placement requests and assignments to
+ * its own dispatcher. Updates the dispatcher's order permission. */
 void FleetMember::NoteHolder()
 {
   const TimePoint now = BootTime();
@@ -322,7 +327,8 @@
     message->body);
 }
 
-/* Tells a daemon whose question came too late that this one is not the dispatcher any more. */
+/* Answers a placement request that arrives although this daemon is not the dispatcher, so that the
+ * sender does not wait for a reply. Other messages are ignored. */
 void FleetMember::Disown(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage)
 {
   const auto* ask = std::get_if<fleet::PlacementAsk>(&aMessage);
@@ -361,7 +367,7 @@
 {
   const TimePoint now = BootTime();
   if (aMessage.from != aBeacon.lease.holder || aBeacon.version < mLease.version()) {
-    return; // A former holder that does not know yet.
+    return; // From a former holder that has not yet noticed that it lost the lease.
   }
   mLease.OnHolderHeard(now, aBeacon.lease, aBeacon.version, aBeacon.state);
   NoteHolder();
@@ -509,7 +515,8 @@
 
 void FleetMember::GiveOrder(const fleet::RunnerOrder& aOrder)
 {
-  // Looked at once more: the clock may have jumped over a suspension since the decision.
+  // Checked again: the host may have been suspended since the dispatcher decided, and the
+  // permission to give orders may have expired meanwhile. BootTime() counts suspensions.
   if (!mLease.MayOrder(BootTime())) {
     mServices.dispatcher.OnOrderResult(BootTime(), aOrder.runner, fleet::OrderOutcome::kNotSent);
     return;
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -1,4 +1,5 @@
-/* This daemon as a member of the fleet: it finds the dispatcher, or is it. */
+/* Fleet membership of this daemon: takes part in the order lease, runs the dispatcher while it
+ * holds the lease, and otherwise keeps in touch with the daemon that holds it. */
 #ifndef RHUBARBTRAIL_FLEET_FLEET_MEMBER_H
 #define RHUBARBTRAIL_FLEET_FLEET_MEMBER_H
 
@@ -25,12 +26,12 @@
   DaemonId self;
   IncarnationId incarnation;
   ZoneId zone;
-  std::string address; ///< Of this daemon's link.
-  Duration leaseSpacing = 3s;
-  Duration headStart{};
+  std::string address;        ///< host:port on which this daemon takes messages of other daemons.
+  Duration leaseSpacing = 3s; ///< Minimum time between the orders of two successive holders.
+  Duration headStart{};       ///< Extra time that this host waits before it takes the lease.
 };
 
-/* What the member needs of the daemon around it. */
+/* Parts of the daemon that FleetMember uses. The references must outlive it. */
 struct FleetMemberServices
 {
   boost::asio::io_context& loop;
@@ -40,7 +41,9 @@
   Metrics& metrics;
   PlacementClient& placement;
   fleet::Dispatcher& dispatcher;
+  /* Takes a report of another daemon about a request suspected of crashing runners. */
   std::function<void(const SuspectMessage&)> onSuspect;
+  /* Takes the number of daemons known to the dispatcher, itself included. */
   std::function<void(std::uint32_t)> onDaemonCount;
 };
 
@@ -49,19 +52,22 @@
 public:
   FleetMember(FleetMemberServices aServices, FleetMemberOptions aOptions);
 
-  /* Starts listening and looking for the dispatcher; returns why not, or an empty text. */
+  /* Listens for other daemons and starts the periodic work. Returns an error message if it cannot
+   * listen, else an empty string. */
   std::string Start();
-  /* Hands the lease back; IsReleased() tells when that is done. */
+  /* Starts to release the order lease. IsReleased() is true once this daemon does not hold it. */
   void Release();
   bool IsReleased() const;
   void Close();
 
-  /* Sends a message to the dispatcher, or takes it where this daemon is the dispatcher. Returns
-   * false when no dispatcher can be reached. */
+  /* Sends a message to the dispatcher, or handles it here if this daemon is the dispatcher. Returns
+   * false if no dispatcher is known to be alive. */
   bool ToDispatcher(const fleet::DispatchMessage& aMessage);
-  /* Tells the other daemons of a request that ended a runner's process, or was cleared of it. */
+  /* Notifies the other daemons, through the dispatcher, of a request that is suspected of crashing
+   * runners or has been cleared. Does nothing if no dispatcher is known to be alive. */
   void ReportSuspect(const SuspectMessage& aMessage);
-  /* Something that the dispatcher decides by has changed. */
+  /* Schedules a dispatcher tick after its input has changed, for example the configuration or a
+   * runner's entry. Does nothing on a daemon that is not the dispatcher. */
   void OnChange() { TickDispatcherSoon(); }
 
   bool isDispatcher() const { return mLease.isHolder(); }
@@ -70,13 +76,13 @@
   std::size_t memberCount() const { return mMembers.size(); }
 
 private:
-  /* Another daemon, as the dispatcher knows it. */
+  /* Another daemon. Only the dispatcher keeps these. */
   struct Member
   {
     IncarnationId incarnation;
     std::string address;
     ZoneId zone;
-    TimePoint heardAt{};
+    TimePoint heardAt{}; ///< When its last message arrived.
   };
 
   // The lease.
@@ -118,13 +124,13 @@
   boost::asio::steady_timer mTimer;
   boost::asio::steady_timer mDispatchTimer;
   std::map<DaemonId, Member> mMembers;
-  std::map<DaemonId, std::string> mAddresses; ///< Of all daemons that made themselves known.
-  bool mIsLinked = false;    ///< The dispatcher, another daemon, was heard of lately.
-  fleet::LeaseRow mLinkedTo; ///< The dispatcher that questions go to.
-  TimePoint mBeaconAt{};     ///< When the dispatcher was last heard of.
+  std::map<DaemonId, std::string> mAddresses; ///< Of all daemons that have ever sent a hello.
+  bool mIsLinked = false;    ///< Another daemon is the dispatcher, and its heartbeats arrive.
+  fleet::LeaseRow mLinkedTo; ///< From the last heartbeat; placement requests go to its address.
+  TimePoint mBeaconAt{};     ///< When the last holder heartbeat arrived.
   TimePoint mNextBeacon{};
   TimePoint mNextHello{};
-  std::string mKnownHolder; ///< As last logged.
+  std::string mKnownHolder; ///< Holder and incarnation in the last holder_changed log line.
   bool mCouldOrder = false;
   bool mIsTickPosted = false;
   bool mIsClosed = false;
--- a/src/fleet/fleet_message.cpp
+++ b/src/fleet/fleet_message.cpp
@@ -1,4 +1,5 @@
-/* Messages between the daemons of a fleet, as MessagePack. */
+/* Encodes and decodes messages between the daemons of a fleet (MessagePack) and the lease row
+ * (JSON). */
 #include "fleet/fleet_message.h"
 
 #include "core/overloaded.h"
--- a/src/fleet/fleet_message.h
+++ b/src/fleet/fleet_message.h
@@ -13,23 +13,25 @@
 
 namespace rhubarbtrail {
 
-/* A daemon makes itself known to the dispatcher, and says that it lives. */
+/* Sent periodically by every other daemon to the dispatcher: joins its member list and serves as a
+ * heartbeat. */
 struct HelloMessage
 {
   ZoneId zone;
-  std::string address; ///< Of its link.
+  std::string address; ///< host:port for messages to the sender.
 };
 
-/* The dispatcher says that it lives. */
+/* Heartbeat of the dispatcher, which is the holder of the order lease, to its members. */
 struct BeaconMessage
 {
   fleet::LeaseRow lease;
-  RowVersion version;
+  RowVersion version; ///< Of the lease row.
   fleet::HolderState state = fleet::HolderState::kRenewing;
-  std::uint32_t daemons = 1; ///< Known to the dispatcher, itself included.
+  std::uint32_t daemons = 1; ///< Daemons known to the dispatcher, itself included.
 };
 
-/* A runner's process ended while it ran a request, or a suspect was answered. */
+/* A runner's process ended while it ran a request, which is now suspected of crashing runners, or a
+ * suspected request was answered and is cleared. */
 struct SuspectMessage
 {
   FingerprintId request;
@@ -51,12 +53,12 @@
   FleetBody body;
 };
 
-/* MessagePack maps: unknown members are ignored, so that neighbouring releases understand each
- * other. */
+/* Encodes a message as a MessagePack map. Decoding ignores unknown keys, so that daemons of
+ * successive releases understand each other. */
 std::vector<std::uint8_t> EncodeFleetMessage(const FleetMessage& aMessage);
 tl::expected<FleetMessage, std::string> DecodeFleetMessage(const std::string& aBytes);
 
-/* The lease as the store keeps it. */
+/* Encodes the lease row as JSON, the form in which the store keeps it. */
 std::string EncodeLeaseRow(const fleet::LeaseRow& aRow);
 tl::expected<fleet::LeaseRow, std::string> DecodeLeaseRow(const std::string& aText);
 
--- a/src/fleet/store_client.cpp
+++ b/src/fleet/store_client.cpp
@@ -1,14 +1,14 @@
-/* Calls to the platform's store of rows. */
+/* Client of the platform's row store. */
 #include "fleet/store_client.h"
 
 namespace rhubarbtrail {
 
 namespace {
 
-/* Limit of a read or write: twice what the store takes when it is as slow as it was ever seen. */
+/* Time limit of a read or write: twice the longest time that the store was ever seen to take. */
 constexpr Duration kCallLimit = 900ms;
 constexpr Duration kConnectLimit = 600ms;
-/* How long the answer to a watch may take beyond the time that it was to wait. */
+/* Time allowed for the answer to a watch beyond the requested waiting time. */
 constexpr Duration kWatchMargin = 500ms;
 
 StoreOutcome OutcomeOf(unsigned aStatus)
--- a/src/fleet/store_client.h
+++ b/src/fleet/store_client.h
@@ -1,4 +1,4 @@
-/* Calls to the platform's store of rows. */
+/* Client of the platform's row store. */
 #ifndef RHUBARBTRAIL_FLEET_STORE_CLIENT_H
 #define RHUBARBTRAIL_FLEET_STORE_CLIENT_H
 
@@ -15,10 +15,10 @@
 enum class StoreOutcome : std::uint8_t
 {
   kDone,
-  kConflict,    ///< A row has another version than expected; nothing was written.
-  kHistoryGone, ///< The changes asked for are no longer known.
-  kUnavailable, ///< Nothing was done.
-  kUnknown,     ///< No answer: a write may take effect, now or later.
+  kConflict,    ///< The row's version is not the expected one; nothing was written.
+  kHistoryGone, ///< The store no longer keeps the changes since the version given to Watch().
+  kUnavailable, ///< Not connected, or another HTTP status: a write counts as not done.
+  kUnknown,     ///< No complete or readable answer: a write may take effect, now or later.
 };
 
 std::string_view ToString(StoreOutcome aOutcome);
@@ -26,10 +26,11 @@
 struct StoreResult
 {
   StoreOutcome outcome = StoreOutcome::kUnavailable;
-  platform::StoreAnswer answer; ///< With kDone and kConflict.
-  std::string reason;           ///< Of a failure, for logs.
+  platform::StoreAnswer answer; ///< Set with kDone and kConflict.
+  std::string reason;           ///< HTTP status or error, for logs.
 };
 
+/* Calls started, by kind, and calls that ended as kUnavailable or kUnknown. */
 struct StoreCounts
 {
   std::uint64_t reads = 0;
@@ -38,7 +39,7 @@
   std::uint64_t failures = 0;
 };
 
-/* Makes calls and reads their answers; repeats nothing. */
+/* Sends calls to the store and decodes the answers. Failed calls are not retried. */
 class StoreClient
 {
 public:
@@ -48,7 +49,8 @@
 
   void Write(const platform::StoreWrite& aWrite, Handler aHandler);
   void Read(const std::string& aTable, const std::string& aFirstKey, Handler aHandler);
-  /* Waits for changes of a table; the handler is called when there are some, or after aWait. */
+  /* Waits for changes of a table after a version. The store answers when there are changes, or with
+   * none after aWait. */
   void Watch(const std::string& aTable, RowVersion aAfter, Duration aWait, Handler aHandler);
 
   const StoreCounts& counts() const { return mCounts; }
--- a/src/fleet/table_feed.cpp
+++ b/src/fleet/table_feed.cpp
@@ -1,4 +1,4 @@
-/* Follows one table of the platform's store. */
+/* Change feed of one table in the platform's row store. */
 #include "fleet/table_feed.h"
 
 #include "core/boot_clock.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-/* First and longest pause after a failed call. The longest stays well below the 3 s within which
- * a daemon must have caught up after the store's return. */
+/* Backoff after the first failed call, and its maximum. The maximum stays well below the 3 s within
+ * which a daemon must be up to date again after the store has recovered. */
 constexpr Duration kFirstPause = 100ms;
 constexpr Duration kLongestPause = 500ms;
 
@@ -71,14 +71,16 @@
   OnAnswer();
   const auto& answer = aResult.answer;
   if (mRead.empty()) {
-    mReadVersion = answer.newest; // Changes during the following pages come with the watch.
+    // The watch starts here, so it delivers the changes made while the other pages are read.
+    mReadVersion = answer.newest;
   }
   for (const auto& row : answer.rows) {
     mRead[row.key] = row.version;
     Take(row);
   }
   if (answer.isTruncated && !answer.rows.empty()) {
-    ReadAll(answer.rows.back().key + "%01"); // The least key that follows, as a query has it.
+    // The next page starts behind the last key: at that key with a percent-encoded 0x01 appended.
+    ReadAll(answer.rows.back().key + "%01");
     return;
   }
   std::vector<std::string> removed;
@@ -144,7 +146,7 @@
   }
   RowVersion& known = mVersions[aRow.key];
   if (known.value != 0 && aRow.version <= known) {
-    return; // An older state of the row, or the same one.
+    return; // This or a newer version of the row has been delivered already.
   }
   known = aRow.version;
   mHandlers.onRow(aRow);
--- a/src/fleet/table_feed.h
+++ b/src/fleet/table_feed.h
@@ -1,4 +1,4 @@
-/* Follows one table of the platform's store. */
+/* Change feed of one table in the platform's row store. */
 #ifndef RHUBARBTRAIL_FLEET_TABLE_FEED_H
 #define RHUBARBTRAIL_FLEET_TABLE_FEED_H
 
@@ -15,21 +15,22 @@
 struct TableFeedOptions
 {
   std::string table;
-  Duration wait = 2'300ms; ///< How long the store may keep a call without changes.
-  Duration interval{};     ///< Least time between two calls; changes meanwhile come together.
+  Duration wait = 2'300ms; ///< How long the store may hold a watch open when there is no change.
+  Duration interval{};     ///< Minimum time between the starts of two watches.
 };
 
 struct TableFeedHandlers
 {
-  std::function<void(const platform::StoreRow&)> onRow; ///< New or changed.
-  std::function<void(const std::string&)> onRemoved;    ///< The key of a row that has gone.
-  std::function<void()> onSynced;                       ///< All changes so far were handed over.
-  std::function<void()> onLost;                         ///< The store does not answer.
-  std::function<void()> onRegained;
+  std::function<void(const platform::StoreRow&)> onRow; ///< A row is new or has changed.
+  std::function<void(const std::string&)> onRemoved;    ///< The row with this key was removed.
+  std::function<void()> onSynced;   ///< All changes in the store's last answer were delivered.
+  std::function<void()> onLost;     ///< A call failed. Not repeated until the store has answered.
+  std::function<void()> onRegained; ///< The store has answered for the first time after onLost.
 };
 
-/* Reads the table once, then waits for its changes. When the history is gone, reads it anew and
- * hands over the differences, so that nothing is missed and nothing goes back. */
+/* Reads the whole table once, then watches it for changes. When the store no longer keeps the
+ * changes since the last known version, reads the whole table again and delivers the differences.
+ * Thus no removal and no latest state is missed, and a row never goes back to an older version. */
 class TableFeed
 {
 public:
@@ -45,7 +46,7 @@
 
   bool isSynced() const { return mIsSynced; }
   bool isLost() const { return mIsLost; }
-  /* Returns when the store last answered. */
+  /* Returns the version up to which all changes have been delivered. */
   RowVersion version() const { return mVersion; }
 
 private:
@@ -63,12 +64,12 @@
   EventLog& mLog;
   TableFeedOptions mOptions;
   TableFeedHandlers mHandlers;
-  std::map<std::string, RowVersion> mVersions; ///< Of the rows handed over.
-  std::map<std::string, RowVersion> mRead;     ///< Of the rows read so far, while reading anew.
-  RowVersion mVersion;                         ///< Changes up to here are known.
-  RowVersion mReadVersion;
-  TimePoint mCalledAt{};
-  std::uint32_t mFailures = 0;
+  std::map<std::string, RowVersion> mVersions; ///< Versions of the delivered rows, by key.
+  std::map<std::string, RowVersion> mRead;     ///< Rows found so far by the current full read.
+  RowVersion mVersion;         ///< All changes up to this version have been delivered.
+  RowVersion mReadVersion;     ///< Store version at the first page of the current full read.
+  TimePoint mCalledAt{};       ///< When the last watch was started.
+  std::uint32_t mFailures = 0; ///< Failed calls since the last answer.
   bool mIsSynced = false;
   bool mIsLost = false;
   bool mIsStopped = false;
