--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,4 +1,5 @@
-/* Splits a stream into whole events, so that a stream can go on at another runner. */
+/* Splits a server-sent event stream into complete events. Only complete events are forwarded, so
+ * that a broken stream can be resumed at another runner after the last of them. */
 #ifndef RHUBARBTRAIL_GATEWAY_EVENT_SPLITTER_H
 #define RHUBARBTRAIL_GATEWAY_EVENT_SPLITTER_H
 
@@ -13,7 +14,8 @@
 public:
   void Feed(std::string_view aBytes) { mBuffer += aBytes; }
 
-  /* Returns the next whole event with its closing blank line, or nothing. */
+  /* Removes and returns the next complete event, its closing blank line included. Returns nothing
+   * if there is none. */
   std::optional<std::string> Next()
   {
     const auto end = FindEnd();
@@ -25,12 +27,12 @@
     return event;
   }
 
-  /* Returns the bytes after the last whole event. */
+  /* Returns the bytes after the events returned so far. */
   const std::string& rest() const { return mBuffer; }
   void Clear() { mBuffer.clear(); }
 
 private:
-  /* Returns the position after the first blank line, with either form of line end. */
+  /* Returns the position after the first blank line, or npos. Lines end in LF or in CR LF. */
   std::size_t FindEnd() const
   {
     const auto plain = mBuffer.find("\n\n");
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-/* Takes clients' requests to endpoints and their answers back. */
+/* Forwards clients' requests to endpoints, and the answers to the clients. */
 #ifndef RHUBARBTRAIL_GATEWAY_GATEWAY_H
 #define RHUBARBTRAIL_GATEWAY_GATEWAY_H
 
@@ -21,7 +21,7 @@
 
 class RequestFlow;
 
-/* What all requests of a daemon share. Used by one thread. */
+/* State that all requests of a daemon share. Only one thread uses it. */
 struct GatewayContext
 {
   boost::asio::io_context& loop;
@@ -32,23 +32,24 @@
   PlacementClient& placement;
   DaemonId self;
   ZoneId zone;
-  /* Tells the other daemons that a runner's process ended while it ran a request. */
+  /* Notifies the other daemons that a runner's process ended while it ran a request. */
   std::function<void(const FingerprintId&)> onSuspect;
-  /* Tells the other daemons that a suspect was answered. */
+  /* Notifies the other daemons that a request suspected of crashing runners was answered. */
   std::function<void(const FingerprintId&)> onCleared;
 
-  std::shared_ptr<const fleet::FleetConfiguration> configuration; ///< Null until one is known.
+  std::shared_ptr<const fleet::FleetConfiguration> configuration; ///< Null until the first is read.
   fleet::RetryShare retries;
   fleet::CrashGuard crashes;
   std::uint64_t nextAsk = 1;
   std::set<RequestFlow*> openRequests;
-  bool isLeaving = false; ///< The daemon stops soon and takes no more requests.
+  bool isLeaving = false; ///< The daemon is about to stop and refuses new requests.
 };
 
-/* Ends the requests that wait for a place, so that their clients come back elsewhere in time. */
+/* Ends all requests that are not in flight at an endpoint when the daemon stops, so that their
+ * clients can send them to another daemon before the deadline. */
 void EndWaitingRequests(GatewayContext& aContext);
 
-/* Serves one request from a client; ends by itself. */
+/* Serves one request of a client. The request keeps itself alive until it has ended. */
 void ServeRequest(GatewayContext& aContext,
                   http::Request aRequest,
                   std::shared_ptr<http::Responder> aResponder);
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -1,4 +1,4 @@
-/* Asks the fleet's dispatcher where a request for a model may run. */
+/* Client of the fleet's dispatcher, which assigns requests for models to runners. */
 #include "gateway/placement_client.h"
 
 #include "core/overloaded.h"
@@ -12,7 +12,7 @@
 
 bool PlacementClient::Ask(const fleet::PlacementAsk& aAsk, Handler aHandler)
 {
-  // Kept before it is sent: a dispatcher in this process may answer at once.
+  // Stored before sending, so that even a reply that arrives during the call finds its request.
   mOpen.insert_or_assign(aAsk.id, Open{ aAsk, std::move(aHandler) });
   if (!mSender(fleet::DispatchMessage{ aAsk })) {
     mOpen.erase(aAsk.id);
@@ -24,7 +24,8 @@
 void PlacementClient::Release(const fleet::PlaceReleased& aReleased)
 {
   if (mOpen.erase(aReleased.id) + mPlaces.erase(aReleased.id) > 0) {
-    // A dispatcher that cannot be reached forgets this daemon's places by itself.
+    // The result does not matter: a dispatcher that receives no more messages from this daemon
+    // releases its assignments by itself.
     mSender(fleet::DispatchMessage{ aReleased });
   }
 }
@@ -33,7 +34,9 @@
 {
   const auto found = mOpen.find(aReply.id);
   if (found == mOpen.end()) {
-    return; // Withdrawn meanwhile; the dispatcher was told.
+    // Answered already, given up by OnLost(), or withdrawn by Release(), which notified the
+    // dispatcher.
+    return;
   }
   const Open open = std::move(found->second);
   mOpen.erase(found);
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -1,4 +1,4 @@
-/* Asks the fleet's dispatcher where a request for a model may run. */
+/* Client of the fleet's dispatcher, which assigns requests for models to runners. */
 #ifndef RHUBARBTRAIL_GATEWAY_PLACEMENT_CLIENT_H
 #define RHUBARBTRAIL_GATEWAY_PLACEMENT_CLIENT_H
 
@@ -11,29 +11,31 @@
 
 namespace rhubarbtrail {
 
-/* Keeps the questions of this daemon's requests to the dispatcher, and hands its answers over. The
- * dispatcher may be this daemon or another one; questions are asked again when it changes. */
+/* Keeps this daemon's pending placement requests and its assignments. The dispatcher may be this
+ * daemon or another one. When the dispatcher changes, both are sent to the new one. */
 class PlacementClient
 {
 public:
   using Handler = std::function<void(const fleet::PlacementReply&)>;
-  /* Sends a message to the dispatcher; false when none can be reached. */
+  /* Sends a message to the dispatcher. Returns false if none can be reached. */
   using Sender = std::function<bool(const fleet::DispatchMessage&)>;
 
   explicit PlacementClient(Sender aSender);
 
-  /* Asks for a place. The handler is called once, or not at all after Cancel(). Returns false, and
-   * keeps nothing, when no dispatcher can be reached. */
+  /* Requests an assignment. The handler is called once, unless Release() withdraws the request
+   * first. Returns false if no dispatcher can be reached. The request is not kept then, and the
+   * handler is not called. */
   bool Ask(const fleet::PlacementAsk& aAsk, Handler aHandler);
-  /* Withdraws a question, or gives a place back. */
+  /* Withdraws a pending placement request, or releases an assignment. Notifies the dispatcher. Does
+   * nothing if neither exists. */
   void Release(const fleet::PlaceReleased& aReleased);
 
-  /* Takes an answer of the dispatcher. */
+  /* Handles a reply of the dispatcher. */
   void OnReply(const fleet::PlacementReply& aReply);
-  /* The dispatcher has changed or has lost its memory: open questions are asked again, and places
-   * in use are made known. */
+  /* Sends all assignments and pending placement requests to a dispatcher that does not know them,
+   * because it is new or was restarted. */
   void OnNewDispatcher();
-  /* No dispatcher can be reached: all open questions are answered so. */
+  /* No dispatcher can be reached: answers all pending placement requests with PlaceUnknown. */
   void OnLost();
 
   std::size_t openQuestions() const { return mOpen.size(); }
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -1,4 +1,4 @@
-/* What a client is told of its request: the endpoint's answer, or one of our own. */
+/* Answers of RequestFlow to the client: the endpoint's answer or one of the daemon's own. */
 #include "gateway/request_flow.h"
 
 #include "core/boot_clock.h"
@@ -15,13 +15,14 @@
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kFirstServerError = 500;
 
-/* Returns whether a status promises that the request has not run. */
+/* Returns whether a status tells clients that the request has not run. */
 bool IsPromise(unsigned aStatus)
 {
   return aStatus == 408 || aStatus == 421 || aStatus == 429 || aStatus == 503;
 }
 
-/* The kind of request, for metrics: route names change too often. */
+/* Returns the request class for metrics. It is built from the kind and priority of the route,
+ * because route names change too often. */
 ClassId ClassOf(const fleet::Route* aRoute)
 {
   if (aRoute == nullptr) {
@@ -51,7 +52,7 @@
     return;
   }
   if (IsPromise(status)) {
-    // The endpoint ran the request, so its status would be a false promise.
+    // The endpoint may have run the request, but this status would tell the client that it has not.
     Fail(ResultCode::kAttemptsExhausted, "status_would_promise_not_run");
     return;
   }
@@ -78,7 +79,8 @@
                                info.message));
 }
 
-/* Returns whether an answer of our own can still be sent; an answer that has begun is cut. */
+/* Returns whether the daemon's own answer can still be sent. If a part of an endpoint's answer has
+ * been forwarded, breaks that answer off and returns false. */
 bool RequestFlow::MayAnswer(std::string_view aReason)
 {
   if (!mIsEnded && mIsHeadSent) {
@@ -87,7 +89,7 @@
   return !mIsEnded && !mIsHeadSent;
 }
 
-/* Tells the client that its request has not run and never will. */
+/* Answers that the request has not run, and ends it. */
 void RequestFlow::Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
@@ -105,7 +107,8 @@
   End("refused", aCode, info.httpStatus);
 }
 
-/* Ends a request that may have run, or that is wrong in itself. */
+/* Answers that the request may have run or is invalid, and ends it. A status that tells clients
+ * that it has not run is replaced by 502 if it may have run. */
 void RequestFlow::Fail(ResultCode aCode, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
@@ -125,7 +128,7 @@
   End("failed", aCode, status);
 }
 
-/* Breaks off an answer of which a part was passed on. */
+/* Breaks off an answer of which a part has been forwarded, and ends the request. */
 void RequestFlow::Cut(std::string_view aReason)
 {
   mContext.log.Write("stream_cut",
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -1,4 +1,4 @@
-/* One request on its way: the attempts at endpoints and the answer to the client. */
+/* Attempts of RequestFlow: selects endpoints, sends the request and acts on the result. */
 #include "gateway/request_flow.h"
 
 #include "core/boot_clock.h"
@@ -18,33 +18,35 @@
 using fleet::NextStep;
 using fleet::RouteKind;
 
-/* Longest time that a request without a deadline may take. */
+/* Time limit of a request that states no deadline. */
 constexpr Duration kDefaultTimeLeft = 30s;
-/* Time between two looks for an endpoint while none is known. */
+/* Time between two tries to select an endpoint while none is available. */
 constexpr Duration kLookInterval = 40ms;
-/* Part of the time left for which a request waits for an endpoint to appear. */
+/* A request waits for an available endpoint for this fraction (1 / kWaitDivisor) of the time
+ * between its arrival and its deadline. */
 constexpr int kWaitDivisor = 3;
-/* When clients are asked to come back if nothing better is known. */
+/* Retry time sent to clients when no better estimate is available. */
 constexpr Duration kRetryLater = 500ms;
-/* When to come back to another daemon. */
+/* Retry time sent to clients when this daemon stops: other daemons can take the request now. */
 constexpr Duration kRetryAtOnce = 50ms;
-/* Longest time to connect to an endpoint; connecting takes a few milliseconds. */
+/* Time limit for connecting to an endpoint. Connecting normally takes a few milliseconds. */
 constexpr Duration kConnectLimit = 250ms;
-/* Times the objective that a repeatable request waits for an answer before it is sent again, and
- * the least such time. */
+/* Time limit for the response head of an attempt that may be repeated, as a multiple of the route's
+ * objective, and the minimum of this limit. */
 constexpr int kSilenceObjectives = 3;
 constexpr Duration kLeastSilence = 250ms;
-/* Longest silence within a stream that can go on elsewhere, in times of the pause objective;
- * clients give up after eight. */
+/* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
+ * of the route's pause objective. It lies below the eight at which clients give up. */
 constexpr int kSilencePauses = 4;
-/* Clients give up a stream after a silence of two seconds, four objectives or eight pauses,
- * whichever is longest. */
+/* Clients give up a stream when nothing arrives for two seconds, four times the objective or eight
+ * times the pause objective, whichever is longest. */
 constexpr Duration kLeastPatience = 2s;
 constexpr int kPatienceObjectives = 4;
 constexpr int kPatiencePauses = 8;
-/* Unsent bytes above which an endpoint is not read from, until the client has taken them. */
+/* When more bytes than this are not yet sent to the client, reading from the endpoint is paused
+ * until all are sent. */
 constexpr std::size_t kUnsentLimit = 256U << 10U;
-/* Largest answer that is stored before it is passed on. */
+/* Maximum body size, in bytes, of an answer that is buffered before it is forwarded. */
 constexpr std::size_t kStoredAnswerLimit = 8U << 20U;
 
 constexpr unsigned kFirstServerError = 500;
@@ -59,7 +61,8 @@
   return aTarget.substr(0, aTarget.find('?'));
 }
 
-/* Returns a digest of what makes a request crash its runner: it comes again with these bytes. */
+/* Returns a digest of the method, the target, the model and the body. A client that repeats a
+ * request sends the same bytes, so a request that crashes runners is recognised by its digest. */
 FingerprintId Fingerprint(const http::Request& aRequest, const platform::ClientRequest& aClient)
 {
   std::uint64_t hash = XXH3_64bits(aRequest.body.data(), aRequest.body.size());
@@ -69,7 +72,9 @@
   return FingerprintId{ fmt::format("{:016x}", hash) };
 }
 
-/* Requests that share the last part of their prompt go to the same runner. */
+/* Returns the affinity key of a request: the id of its last prompt part, or a hash of the request
+ * id if it has none. It decides between runners that are otherwise equal, so that requests with the
+ * same key go to the same one. */
 std::uint64_t AffinityOf(const platform::ClientRequest& aClient)
 {
   if (aClient.work && !aClient.work->parts.empty()) {
@@ -195,7 +200,8 @@
   Place();
 }
 
-/* Divides requests between the services of a route by weight. */
+/* Selects a service of the route by weight and a hash of the request id, so that a repeated request
+ * goes to the same service. */
 void RequestFlow::ChooseService()
 {
   std::uint64_t total = 0;
@@ -218,7 +224,7 @@
   return std::max(mDeadline - BootTime(), Duration::zero());
 }
 
-/* Returns how long a client waits for the first event of a stream before it gives up. */
+/* Returns how long after arrival a client gives up if no event of a stream has reached it. */
 Duration RequestFlow::Patience() const
 {
   return std::max({ kLeastPatience,
@@ -314,7 +320,7 @@
     }
     return;
   }
-  // An endpoint that has failed this request may be the only one left.
+  // An endpoint that failed this request may be the only one left, so it may be chosen again.
   if (mState.refusals > 0 || mState.runs > 0) {
     mFailedAt.clear();
   }
@@ -330,7 +336,7 @@
 {
   const Duration left = TimeLeft();
   if (!mState.isResumable && !mRoute->MayRepeat()) {
-    return left; // It cannot be sent again, so nothing is gained by giving up early.
+    return left; // The request cannot be repeated, so an earlier time-out would gain nothing.
   }
   const bool isLastAttempt = mState.runs + 1 >= mState.maxAttempts;
   return isLastAttempt
@@ -454,7 +460,7 @@
   }
 }
 
-/* Passes on the events that are whole, and none that the client has. */
+/* Forwards all events that have arrived completely. */
 void RequestFlow::PassEvents()
 {
   std::string passed;
@@ -494,14 +500,16 @@
     return AttemptEnd::kNotSent;
   }
   if (mAttempt.head && mAttempt.meaning.isNotRun) {
-    return AttemptEnd::kNotRun; // Its word stands even if the rest of the answer is lost.
+    // The head states that the request has not run, which is true even if the body was lost.
+    return AttemptEnd::kNotRun;
   }
   if (aResult != http::CallResult::kComplete || !mAttempt.head || mAttempt.isInvalid) {
     return mIsHeadSent ? AttemptEnd::kCutMidway : AttemptEnd::kLost;
   }
   const bool isServerError = mAttempt.head->status >= kFirstServerError;
   if (mIsHeadSent && !mAttempt.isStream) {
-    return AttemptEnd::kCutMidway; // A stream that went on elsewhere got a failure there.
+    // The client has a part of a stream, and the endpoint that was to resume it answered otherwise.
+    return AttemptEnd::kCutMidway;
   }
   return isServerError ? AttemptEnd::kFailure : AttemptEnd::kAnswered;
 }
@@ -550,7 +558,8 @@
   if (runner == nullptr) {
     return;
   }
-  // A connection breaks for many reasons; only a process that has gone accepts none any more.
+  // Connections break for many reasons, but a new one fails only if the process is gone. Anything
+  // else does not make the request a suspect.
   mContext.client.Start({ .address = runner->entry.address,
                           .request = platform::EncodeReportCall(mAttempt.endpoint),
                           .reuse = http::Reuse::kFresh,
@@ -600,7 +609,7 @@
                          { "events_passed", mEventsPassed },
                          { "time_left_ms", Milliseconds(mState.timeLeft) } });
   }
-  // Without a share for a retry, the runner's own failure is the better answer.
+  // If the retry budget allows no other attempt, the client gets the endpoint's own 5xx answer.
   if (step == NextStep::kTryAgain && aEnd == AttemptEnd::kFailure &&
       mContext.retries.Left(BootTime(), mService) < 1.0) {
     step = NextStep::kPassOn;
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -1,4 +1,4 @@
-/* One request on its way: the attempts at endpoints and the answer to the client. */
+/* Handles one client request: the attempts at endpoints and the answer to the client. */
 #ifndef RHUBARBTRAIL_GATEWAY_REQUEST_FLOW_H
 #define RHUBARBTRAIL_GATEWAY_REQUEST_FLOW_H
 
@@ -15,7 +15,7 @@
 
 namespace rhubarbtrail {
 
-/* Owns itself while the request is open. */
+/* Its timers, its call and the responder's handler keep it alive while the request is open. */
 class RequestFlow : public std::enable_shared_from_this<RequestFlow>
 {
 public:
@@ -27,34 +27,34 @@
   RequestFlow& operator=(const RequestFlow&) = delete;
 
   void Start();
-  /* Ends the request unless an endpoint is at work on it. */
+  /* Ends the request unless it is in flight at an endpoint. */
   void EndIfWaiting();
 
 private:
-  /* An attempt under way, or the last one. */
+  /* The current attempt at an endpoint, or the last one. */
   struct Attempt
   {
     EndpointId endpoint;
     TimePoint startedAt{};
-    Duration firstEvent{}; ///< From the start to the first event; 0: there was none yet.
+    Duration firstEvent{}; ///< From the start to the first event; 0: none has arrived.
     std::unique_ptr<http::Call> call;
     std::optional<http::AnswerHead> head;
     platform::EndpointAnswer meaning;
-    std::string body;       ///< Of an answer that is passed on as a whole.
-    bool isStream = false;  ///< The body is passed on as it comes.
-    bool isInvalid = false; ///< What came cannot be passed on.
+    std::string body;       ///< Of an answer that is buffered before it is forwarded.
+    bool isStream = false;  ///< The body is forwarded event by event as it arrives.
+    bool isInvalid = false; ///< The answer is unsigned, encoded or too large to be forwarded.
   };
 
   void OnRouted();
   bool CheckRoute(std::string& aReason, ResultCode& aCode);
   void ChooseService();
 
-  /* Finds an endpoint for the next attempt. */
+  /* Selects an endpoint for the next attempt, through the dispatcher for requests for models. */
   void Place();
   void PlaceByDispatcher();
   void OnPlaced(const fleet::PlacementReply& aReply);
   void PlaceLocally(std::string_view aWhy);
-  /* Waits for something to change while no endpoint is known. */
+  /* Selects an endpoint again after a pause, or ends the request if it has waited too long. */
   void WaitForEndpoint();
 
   void Send(const EndpointId& aEndpoint, std::string_view aWhy);
@@ -64,7 +64,8 @@
   fleet::AttemptEnd Judge(http::CallResult aResult) const;
   void Follow(fleet::AttemptEnd aEnd, std::string_view aResult);
   void ReleasePlace(fleet::PlaceEnd aEnd);
-  /* Finds out whether the endpoint's process has ended, and suspects the request if so. */
+  /* Connects to the endpoint after its connection broke. If that fails, its process has probably
+   * ended, and the request is reported as suspected of crashing runners. */
   void ProbeEndpoint();
 
   void PassEvents();
@@ -89,7 +90,7 @@
   http::Request mRequest;
   std::shared_ptr<http::Responder> mResponder;
   platform::ClientRequest mClient;
-  std::shared_ptr<const fleet::FleetConfiguration> mConfiguration; ///< In force at arrival.
+  std::shared_ptr<const fleet::FleetConfiguration> mConfiguration; ///< The one in force at arrival.
   const fleet::Route* mRoute = nullptr;
   ServiceId mService;
   FingerprintId mFingerprint;
@@ -100,9 +101,9 @@
   fleet::AttemptState mState;
   Attempt mAttempt;
   std::set<EndpointId> mFailedAt;
-  std::optional<fleet::AskId> mPlace; ///< The question asked or the place held.
+  std::optional<fleet::AskId> mPlace; ///< Id of the pending placement request or held assignment.
   EventSplitter mEvents;
-  std::string mLastEventId; ///< Of the last event that the client has.
+  std::string mLastEventId; ///< Last event id that was forwarded to the client.
   std::uint32_t mEventsPassed = 0;
   TimePoint mFirstByteAt{};
   bool mIsHeadSent = false;
