--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -46,6 +46,8 @@
   };
 
   void OnRouted();
+  /* Finds the route and checks that the request may be sent. Otherwise returns false and sets the
+   * reason and the result code. */
   bool CheckRoute(std::string& aReason, ResultCode& aCode);
   void ChooseService();
 
@@ -61,7 +63,9 @@
   bool OnHead(const http::AnswerHead& aHead);
   void OnBody(std::string_view aBytes);
   void OnEnd(http::CallResult aResult);
+  /* Classifies the attempt that has just ended. */
   fleet::AttemptEnd Judge(http::CallResult aResult) const;
+  /* Decides what follows an attempt: another one, the answer, or a failure. */
   void Follow(fleet::AttemptEnd aEnd, std::string_view aResult);
   void ReleasePlace(fleet::PlaceEnd aEnd);
   /* Connects to the endpoint after its connection broke. If that fails, its process has probably
