--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -41,7 +41,7 @@
   Metrics& metrics;
   PlacementClient& placement;
   fleet::Dispatcher& dispatcher;
-  /* Takes a report of another daemon about a request suspected of crashing runners. */
+  /* Takes another daemon's report that a request is suspected of crashing runners or is cleared. */
   std::function<void(const SuspectMessage&)> onSuspect;
   /* Takes the number of daemons known to the dispatcher, itself included. */
   std::function<void(std::uint32_t)> onDaemonCount;
--- a/src/fleet/store_client.cpp
+++ b/src/fleet/store_client.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/* Time limit of a read or write: twice the longest time that the store was ever seen to take. */
+/* Time limit of a read or write: twice the time of a call while the store was at its slowest. */
 constexpr Duration kCallLimit = 900ms;
 constexpr Duration kConnectLimit = 600ms;
 /* Time allowed for the answer to a watch beyond the requested waiting time. */
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -224,7 +224,7 @@
   return std::max(mDeadline - BootTime(), Duration::zero());
 }
 
-/* Returns how long after arrival a client gives up if no event of a stream has reached it. */
+/* Returns the time after arrival at which a client gives up a stream that has no event yet. */
 Duration RequestFlow::Patience() const
 {
   return std::max({ kLeastPatience,
