--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -17,16 +17,16 @@
 constexpr Duration kTickInterval = 50ms;
 /* Intervals of the heartbeats: the dispatcher's to its members, and the hellos of the others to the
  * dispatcher. */
-constexpr Duration kBeaconInterval = 400ms;
+constexpr Duration kHeartbeatInterval = 400ms;
 constexpr Duration kHelloInterval = 800ms;
 /* Time without a heartbeat after which a daemon treats the dispatcher as unreachable, and time
  * without any message after which the dispatcher removes a member. */
-constexpr Duration kDispatcherSilence = 1'300ms;
-constexpr Duration kMemberSilence = 2'500ms;
+constexpr Duration kDispatcherTimeout = 1'300ms;
+constexpr Duration kMemberTimeout = 2'500ms;
 /* Time limits for a runner's answer to an order, for its report, and for connecting to it. */
-constexpr Duration kOrderLimit = 400ms;
-constexpr Duration kReportLimit = 400ms;
-constexpr Duration kRunnerConnectLimit = 250ms;
+constexpr Duration kOrderTimeout = 400ms;
+constexpr Duration kReportTimeout = 400ms;
+constexpr Duration kRunnerConnectTimeout = 250ms;
 /* Table and key of the lease row in the store. */
 constexpr const char* kFleetTable = "rhubarbtrail";
 constexpr const char* kLeaseKey = "lease";
@@ -46,12 +46,12 @@
           { .onMessage = [this](const std::string& aBytes) { OnMessage(aBytes); },
             .onBroken =
               [this](const std::string& aAddress) {
-                if (mIsLinked && aAddress == mLinkedTo.address) {
+                if (mHasRemoteDispatcher && aAddress == mDispatcherLease.address) {
                   LoseDispatcher("connection_ended");
                 }
               } })
   , mTimer(mServices.loop)
-  , mDispatchTimer(mServices.loop)
+  , mDispatcherTimer(mServices.loop)
 {
 }
 
@@ -78,7 +78,7 @@
 {
   mIsClosed = true;
   mTimer.cancel();
-  mDispatchTimer.cancel();
+  mDispatcherTimer.cancel();
   mLink.Close();
 }
 
@@ -86,20 +86,20 @@
 {
   const TimePoint now = BootTime();
   if (const auto action = mLease.Tick(now)) {
-    Carry(*action);
+    Execute(*action);
   }
-  NoteHolder();
+  ApplyLeaseState();
   if (isDispatcher()) {
-    if (now >= mNextBeacon) {
-      mNextBeacon = now + kBeaconInterval;
-      SendBeacons();
+    if (now >= mNextHeartbeatAt) {
+      mNextHeartbeatAt = now + kHeartbeatInterval;
+      SendHeartbeats();
     }
-    CheckMembers(now);
-  } else if (now >= mNextHello) {
-    mNextHello = now + kHelloInterval;
+    RemoveTimedOutMembers(now);
+  } else if (now >= mNextHelloAt) {
+    mNextHelloAt = now + kHelloInterval;
     SendHello();
   }
-  if (mIsLinked && now - mBeaconAt > kDispatcherSilence) {
+  if (mHasRemoteDispatcher && now - mLastHeartbeatAt > kDispatcherTimeout) {
     LoseDispatcher("silent");
   }
   mLink.CheckSilence(now);
@@ -111,7 +111,7 @@
   });
 }
 
-void FleetMember::Carry(const fleet::LeaseAction& aAction)
+void FleetMember::Execute(const fleet::LeaseAction& aAction)
 {
   std::visit(Overloaded{ [this](const fleet::ReadLease&) { ReadLease(); },
                          [this](const fleet::WriteLease& aWrite) { WriteLease(aWrite); } },
@@ -123,7 +123,7 @@
   mServices.store.Read(kFleetTable, {}, [this](const StoreResult& aResult) {
     if (!mIsClosed) {
       OnLeaseRead(aResult);
-      NoteHolder();
+      ApplyLeaseState();
     }
   });
 }
@@ -137,7 +137,7 @@
                         [this](const StoreResult& aResult) {
                           if (!mIsClosed) {
                             OnLeaseWritten(aResult);
-                            NoteHolder();
+                            ApplyLeaseState();
                           }
                         });
 }
@@ -201,33 +201,33 @@
  * state when another holder follows this daemon. When this daemon takes the lease while it still
  * receives another dispatcher's heartbeats, sends its open placement requests and assignments to
  * its own dispatcher. Updates the dispatcher's order permission. */
-void FleetMember::NoteHolder()
+void FleetMember::ApplyLeaseState()
 {
   const TimePoint now = BootTime();
   const bool isHolder = isDispatcher();
   const std::string holder = mLease.row().holder.str() + "/" + mLease.row().incarnation.str();
-  if (holder != mKnownHolder) {
-    const bool wasHolder = mKnownHolder == mOptions.self.str() + "/" + mOptions.incarnation.str();
+  if (holder != mLoggedHolder) {
+    const bool wasHolder = mLoggedHolder == mOptions.self.str() + "/" + mOptions.incarnation.str();
     mServices.log.Write("holder_changed",
                         { { "holder", mLease.row().holder },
-                          { "former", mKnownHolder },
+                          { "former", mLoggedHolder },
                           { "row_version", mLease.version().value },
                           { "fence", mLease.fence().value } });
-    mKnownHolder = holder;
+    mLoggedHolder = holder;
     if (wasHolder && !isHolder) {
       mMembers.clear();
       mServices.dispatcher.Clear();
       mServices.placement.OnLost();
     }
-    mNextHello = now;
+    mNextHelloAt = now;
   }
-  if (isHolder && mIsLinked) {
-    mIsLinked = false;
+  if (isHolder && mHasRemoteDispatcher) {
+    mHasRemoteDispatcher = false;
     mServices.placement.OnNewDispatcher();
   }
   const bool mayOrder = mLease.MayOrder(now);
-  if (mayOrder != mCouldOrder) {
-    mCouldOrder = mayOrder;
+  if (mayOrder != mWasOrderingAllowed) {
+    mWasOrderingAllowed = mayOrder;
     mServices.log.Write(mayOrder ? "orders_allowed" : "orders_stopped",
                         { { "row_version", mLease.version().value },
                           { "fence", mLease.fence().value },
@@ -245,7 +245,7 @@
       { .from = mOptions.self, .incarnation = mOptions.incarnation, .body = std::move(aBody) }));
 }
 
-BeaconMessage FleetMember::Beacon() const
+HolderHeartbeatMessage FleetMember::MakeHeartbeat() const
 {
   return { .lease = mLease.row(),
            .version = mLease.version(),
@@ -253,12 +253,12 @@
            .daemons = static_cast<std::uint32_t>(mMembers.size()) + 1 };
 }
 
-void FleetMember::SendBeacons()
+void FleetMember::SendHeartbeats()
 {
   mServices.onDaemonCount(static_cast<std::uint32_t>(mMembers.size()) + 1);
-  const BeaconMessage beacon = Beacon();
+  const HolderHeartbeatMessage heartbeat = MakeHeartbeat();
   for (const auto& [id, member] : mMembers) {
-    Send(member.address, beacon);
+    Send(member.address, heartbeat);
   }
 }
 
@@ -270,31 +270,32 @@
   }
 }
 
-void FleetMember::CheckMembers(TimePoint aNow)
+void FleetMember::RemoveTimedOutMembers(TimePoint aNow)
 {
   std::erase_if(mMembers, [&](const auto& aItem) {
     const auto& [id, member] = aItem;
-    if (aNow - member.heardAt <= kMemberSilence) {
+    if (aNow - member.lastMessageAt <= kMemberTimeout) {
       return false;
     }
-    mServices.log.Write("member_lost",
-                        { { "member", id }, { "silent_ms", Milliseconds(aNow - member.heardAt) } });
+    mServices.log.Write(
+      "member_lost",
+      { { "member", id }, { "silent_ms", Milliseconds(aNow - member.lastMessageAt) } });
     mServices.dispatcher.OnDaemonLost(id);
     mLink.Disconnect(member.address);
     return true;
   });
 }
 
-void FleetMember::LoseDispatcher(std::string_view aWhy)
+void FleetMember::LoseDispatcher(std::string_view aReason)
 {
-  if (!std::exchange(mIsLinked, false)) {
+  if (!std::exchange(mHasRemoteDispatcher, false)) {
     return;
   }
   mServices.log.Write("dispatcher_lost",
-                      { { "dispatcher", mLinkedTo.holder },
-                        { "why", aWhy },
-                        { "heard_ms_ago", Milliseconds(BootTime() - mBeaconAt) } });
-  mLink.Disconnect(mLinkedTo.address);
+                      { { "dispatcher", mDispatcherLease.holder },
+                        { "why", aReason },
+                        { "heard_ms_ago", Milliseconds(BootTime() - mLastHeartbeatAt) } });
+  mLink.Disconnect(mDispatcherLease.address);
   mServices.placement.OnLost();
 }
 
@@ -310,31 +311,34 @@
   }
   if (const auto member = mMembers.find(message->from);
       member != mMembers.end() && member->second.incarnation == message->incarnation) {
-    member->second.heardAt = BootTime();
+    member->second.lastMessageAt = BootTime();
   }
   std::visit(
-    Overloaded{ [&](const HelloMessage& aHello) { OnHello(*message, aHello); },
-                [&](const BeaconMessage& aBeacon) { OnBeacon(*message, aBeacon); },
-                [&](const SuspectMessage& aSuspect) { OnSuspect(*message, aSuspect); },
-                [&](const fleet::PlacementReply& aReply) { mServices.placement.OnReply(aReply); },
-                [&](const auto& aQuestion) {
-                  if (isDispatcher()) {
-                    Dispatch(message->from, fleet::DispatchMessage{ aQuestion });
-                  } else {
-                    Disown(message->from, fleet::DispatchMessage{ aQuestion });
-                  }
-                } },
+    Overloaded{
+      [&](const HelloMessage& aHello) { OnHello(*message, aHello); },
+      [&](const HolderHeartbeatMessage& aHeartbeat) { OnHolderHeartbeat(*message, aHeartbeat); },
+      [&](const SuspectMessage& aSuspect) { OnSuspect(*message, aSuspect); },
+      [&](const fleet::PlacementReply& aReply) { mServices.placement.OnReply(aReply); },
+      [&](const auto& aDispatchMessage) {
+        if (isDispatcher()) {
+          HandleDispatchMessage(message->from, fleet::DispatchMessage{ aDispatchMessage });
+        } else {
+          RejectPlacementRequest(message->from, fleet::DispatchMessage{ aDispatchMessage });
+        }
+      } },
     message->body);
 }
 
 /* Answers a placement request that arrives although this daemon is not the dispatcher, so that the
  * sender does not wait for a reply. Other messages are ignored. */
-void FleetMember::Disown(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage)
+void FleetMember::RejectPlacementRequest(const DaemonId& aFrom,
+                                         const fleet::DispatchMessage& aMessage)
 {
-  const auto* ask = std::get_if<fleet::PlacementAsk>(&aMessage);
+  const auto* request = std::get_if<fleet::PlacementAsk>(&aMessage);
   const auto address = mAddresses.find(aFrom);
-  if (ask != nullptr && address != mAddresses.end()) {
-    Send(address->second, fleet::PlacementReply{ .id = ask->id, .answer = fleet::PlaceUnknown{} });
+  if (request != nullptr && address != mAddresses.end()) {
+    Send(address->second,
+         fleet::PlacementReply{ .id = request->id, .answer = fleet::PlaceUnknown{} });
   }
 }
 
@@ -357,35 +361,37 @@
   mMembers[aMessage.from] = { .incarnation = aMessage.incarnation,
                               .address = aHello.address,
                               .zone = aHello.zone,
-                              .heardAt = BootTime() };
+                              .lastMessageAt = BootTime() };
   if (isNew) {
-    Send(aHello.address, Beacon());
+    Send(aHello.address, MakeHeartbeat());
   }
 }
 
-void FleetMember::OnBeacon(const FleetMessage& aMessage, const BeaconMessage& aBeacon)
+void FleetMember::OnHolderHeartbeat(const FleetMessage& aMessage,
+                                    const HolderHeartbeatMessage& aHeartbeat)
 {
   const TimePoint now = BootTime();
-  if (aMessage.from != aBeacon.lease.holder || aBeacon.version < mLease.version()) {
+  if (aMessage.from != aHeartbeat.lease.holder || aHeartbeat.version < mLease.version()) {
     return; // From a former holder that has not yet noticed that it lost the lease.
   }
-  mLease.OnHolderHeard(now, aBeacon.lease, aBeacon.version, aBeacon.state);
-  NoteHolder();
+  mLease.OnHolderHeard(now, aHeartbeat.lease, aHeartbeat.version, aHeartbeat.state);
+  ApplyLeaseState();
   if (isDispatcher()) {
     return;
   }
-  const bool isNew = !mIsLinked || mLinkedTo.incarnation != aBeacon.lease.incarnation;
-  if (isNew && mIsLinked && mLinkedTo.address != aBeacon.lease.address) {
-    mLink.Disconnect(mLinkedTo.address);
+  const bool isNew =
+    !mHasRemoteDispatcher || mDispatcherLease.incarnation != aHeartbeat.lease.incarnation;
+  if (isNew && mHasRemoteDispatcher && mDispatcherLease.address != aHeartbeat.lease.address) {
+    mLink.Disconnect(mDispatcherLease.address);
   }
-  mLinkedTo = aBeacon.lease;
-  mIsLinked = true;
-  mBeaconAt = now;
-  mServices.onDaemonCount(aBeacon.daemons);
+  mDispatcherLease = aHeartbeat.lease;
+  mHasRemoteDispatcher = true;
+  mLastHeartbeatAt = now;
+  mServices.onDaemonCount(aHeartbeat.daemons);
   if (isNew) {
     mServices.log.Write(
       "dispatcher_found",
-      { { "dispatcher", aBeacon.lease.holder }, { "row_version", aBeacon.version.value } });
+      { { "dispatcher", aHeartbeat.lease.holder }, { "row_version", aHeartbeat.version.value } });
     SendHello();
     mServices.placement.OnNewDispatcher();
   }
@@ -410,38 +416,39 @@
     for (const auto& [id, member] : mMembers) {
       Send(member.address, aMessage);
     }
-  } else if (mIsLinked) {
-    Send(mLinkedTo.address, aMessage);
+  } else if (mHasRemoteDispatcher) {
+    Send(mDispatcherLease.address, aMessage);
   }
 }
 
 bool FleetMember::ToDispatcher(const fleet::DispatchMessage& aMessage)
 {
   if (isDispatcher()) {
-    Dispatch(mOptions.self, aMessage);
+    HandleDispatchMessage(mOptions.self, aMessage);
     return true;
   }
-  if (!mIsLinked) {
+  if (!mHasRemoteDispatcher) {
     return false;
   }
-  std::visit([this](const auto& aBody) { Send(mLinkedTo.address, aBody); }, aMessage);
+  std::visit([this](const auto& aBody) { Send(mDispatcherLease.address, aBody); }, aMessage);
   return true;
 }
 
-void FleetMember::Dispatch(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage)
+void FleetMember::HandleDispatchMessage(const DaemonId& aFrom,
+                                        const fleet::DispatchMessage& aMessage)
 {
   const TimePoint now = BootTime();
-  std::visit(Overloaded{ [&](const fleet::PlacementAsk& aAsk) {
-                          mServices.dispatcher.OnAsk(now, aAsk, ZoneOf(aFrom));
+  std::visit(Overloaded{ [&](const fleet::PlacementAsk& aRequest) {
+                          mServices.dispatcher.OnAsk(now, aRequest, ZoneOf(aFrom));
                         },
                          [&](const fleet::PlaceReleased& aReleased) {
                            mServices.dispatcher.OnReleased(now, aReleased);
                          },
-                         [&](const fleet::PlaceInUse& aPlace) {
-                           mServices.dispatcher.OnPlaceInUse(now, aPlace);
+                         [&](const fleet::PlaceInUse& aAssignment) {
+                           mServices.dispatcher.OnPlaceInUse(now, aAssignment);
                          } },
              aMessage);
-  TickDispatcherSoon();
+  ScheduleDispatcherTick();
 }
 
 ZoneId FleetMember::ZoneOf(const DaemonId& aDaemon) const
@@ -450,7 +457,7 @@
   return found == mMembers.end() ? mOptions.zone : found->second.zone;
 }
 
-void FleetMember::TickDispatcherSoon()
+void FleetMember::ScheduleDispatcherTick()
 {
   if (!isDispatcher() || std::exchange(mIsTickPosted, true)) {
     return;
@@ -468,25 +475,25 @@
   if (!isDispatcher()) {
     return;
   }
-  NoteHolder();
+  ApplyLeaseState();
   const TimePoint now = BootTime();
   for (const auto& action : mServices.dispatcher.Tick(now)) {
-    Carry(action);
+    Execute(action);
   }
   const Duration pause = std::max(mServices.dispatcher.nextWake() - BootTime(),
                                   Duration{ std::chrono::milliseconds{ 1 } });
-  mDispatchTimer.expires_after(pause);
-  mDispatchTimer.async_wait([this](boost::system::error_code aError) {
+  mDispatcherTimer.expires_after(pause);
+  mDispatcherTimer.async_wait([this](boost::system::error_code aError) {
     if (!aError && !mIsClosed) {
       TickDispatcher();
     }
   });
 }
 
-void FleetMember::Carry(const fleet::DispatchAction& aAction)
+void FleetMember::Execute(const fleet::DispatchAction& aAction)
 {
-  std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { Answer(aReply); },
-                         [this](const fleet::RunnerOrder& aOrder) { GiveOrder(aOrder); },
+  std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { SendReply(aReply); },
+                         [this](const fleet::RunnerOrder& aOrder) { SendOrder(aOrder); },
                          [this](const fleet::ReportWanted& aWanted) { FetchReport(aWanted); },
                          [this](const fleet::DispatchNote& aNote) {
                            mServices.log.Write(aNote.event,
@@ -502,7 +509,7 @@
              aAction);
 }
 
-void FleetMember::Answer(const fleet::PlacementReply& aReply)
+void FleetMember::SendReply(const fleet::PlacementReply& aReply)
 {
   if (aReply.id.daemon == mOptions.self) {
     mServices.placement.OnReply(aReply);
@@ -513,7 +520,7 @@
   }
 }
 
-void FleetMember::GiveOrder(const fleet::RunnerOrder& aOrder)
+void FleetMember::SendOrder(const fleet::RunnerOrder& aOrder)
 {
   // Checked again: the host may have been suspended since the dispatcher decided, and the
   // permission to give orders may have expired meanwhile. BootTime() counts suspensions.
@@ -532,9 +539,9 @@
     { .address = aOrder.address,
       .request = platform::EncodeOrder(aOrder),
       .reuse = http::Reuse::kAllowed,
-      .connectTime = kRunnerConnectLimit,
-      .answerTime = kOrderLimit,
-      .silenceTime = kOrderLimit },
+      .connectTime = kRunnerConnectTimeout,
+      .answerTime = kOrderTimeout,
+      .silenceTime = kOrderTimeout },
     { .onHead =
         [status](const http::AnswerHead& aHead) {
           *status = aHead.status;
@@ -558,7 +565,7 @@
                                 { "expected_count", order.expectedOrderCount },
                                 { "fence", order.fence.value } });
           mServices.dispatcher.OnOrderResult(BootTime(), order.runner, outcome);
-          TickDispatcherSoon();
+          ScheduleDispatcherTick();
         } });
 }
 
@@ -573,9 +580,9 @@
   mServices.client.Start(
     { .address = aWanted.address,
       .request = platform::EncodeReportCall(aWanted.runner),
-      .connectTime = kRunnerConnectLimit,
-      .answerTime = kReportLimit,
-      .silenceTime = kReportLimit },
+      .connectTime = kRunnerConnectTimeout,
+      .answerTime = kReportTimeout,
+      .silenceTime = kReportTimeout },
     { .onHead =
         [progress](const http::AnswerHead& aHead) {
           progress->status = aHead.status;
@@ -585,9 +592,10 @@
       .onEnd =
         [this, progress, runner = aWanted.runner](http::CallResult aResult) {
           constexpr unsigned kOk = 200;
-          const bool isWhole = aResult == http::CallResult::kComplete && progress->status == kOk;
-          const auto report = isWhole ? platform::DecodeRunnerReport(progress->body)
-                                      : tl::make_unexpected(std::string{ http::ToString(aResult) });
+          const bool isSuccess = aResult == http::CallResult::kComplete && progress->status == kOk;
+          const auto report = isSuccess
+                                ? platform::DecodeRunnerReport(progress->body)
+                                : tl::make_unexpected(std::string{ http::ToString(aResult) });
           if (!report) {
             mServices.log.Write("report_failed",
                                 { { "endpoint", runner },
@@ -595,7 +603,7 @@
                                   { "reason", report.error() } });
           }
           mServices.dispatcher.OnReport(BootTime(), runner, report ? &*report : nullptr);
-          TickDispatcherSoon();
+          ScheduleDispatcherTick();
         } });
 }
 
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -68,10 +68,10 @@
   void ReportSuspect(const SuspectMessage& aMessage);
   /* Schedules a dispatcher tick after its input has changed, for example the configuration or a
    * runner's entry. Does nothing on a daemon that is not the dispatcher. */
-  void OnChange() { TickDispatcherSoon(); }
+  void OnChange() { ScheduleDispatcherTick(); }
 
   bool isDispatcher() const { return mLease.isHolder(); }
-  bool HasDispatcher() const { return isDispatcher() || mIsLinked; }
+  bool HasDispatcher() const { return isDispatcher() || mHasRemoteDispatcher; }
   const fleet::LeaseRow& lease() const { return mLease.row(); }
   std::size_t memberCount() const { return mMembers.size(); }
 
@@ -82,38 +82,38 @@
     IncarnationId incarnation;
     std::string address;
     ZoneId zone;
-    TimePoint heardAt{}; ///< When its last message arrived.
+    TimePoint lastMessageAt{}; ///< When its last message arrived.
   };
 
   // The lease.
   void Tick();
-  void Carry(const fleet::LeaseAction& aAction);
+  void Execute(const fleet::LeaseAction& aAction);
   void ReadLease();
   void WriteLease(const fleet::WriteLease& aWrite);
   void OnLeaseRead(const StoreResult& aResult);
   void OnLeaseWritten(const StoreResult& aResult);
-  void NoteHolder();
+  void ApplyLeaseState();
 
   // Messages.
   void Send(const std::string& aAddress, FleetBody aBody);
   void OnMessage(const std::string& aBytes);
   void OnHello(const FleetMessage& aMessage, const HelloMessage& aHello);
-  void OnBeacon(const FleetMessage& aMessage, const BeaconMessage& aBeacon);
+  void OnHolderHeartbeat(const FleetMessage& aMessage, const HolderHeartbeatMessage& aHeartbeat);
   void OnSuspect(const FleetMessage& aMessage, const SuspectMessage& aSuspect);
-  void Dispatch(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage);
-  void Disown(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage);
-  void SendBeacons();
+  void HandleDispatchMessage(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage);
+  void RejectPlacementRequest(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage);
+  void SendHeartbeats();
   void SendHello();
-  void CheckMembers(TimePoint aNow);
-  void LoseDispatcher(std::string_view aWhy);
-  BeaconMessage Beacon() const;
+  void RemoveTimedOutMembers(TimePoint aNow);
+  void LoseDispatcher(std::string_view aReason);
+  HolderHeartbeatMessage MakeHeartbeat() const;
 
   // The dispatcher.
-  void TickDispatcherSoon();
+  void ScheduleDispatcherTick();
   void TickDispatcher();
-  void Carry(const fleet::DispatchAction& aAction);
-  void Answer(const fleet::PlacementReply& aReply);
-  void GiveOrder(const fleet::RunnerOrder& aOrder);
+  void Execute(const fleet::DispatchAction& aAction);
+  void SendReply(const fleet::PlacementReply& aReply);
+  void SendOrder(const fleet::RunnerOrder& aOrder);
   void FetchReport(const fleet::ReportWanted& aWanted);
   ZoneId ZoneOf(const DaemonId& aDaemon) const;
 
@@ -122,16 +122,16 @@
   fleet::OrderLease mLease;
   FleetLink mLink;
   boost::asio::steady_timer mTimer;
-  boost::asio::steady_timer mDispatchTimer;
+  boost::asio::steady_timer mDispatcherTimer;
   std::map<DaemonId, Member> mMembers;
   std::map<DaemonId, std::string> mAddresses; ///< Of all daemons that have ever sent a hello.
-  bool mIsLinked = false;    ///< Another daemon is the dispatcher, and its heartbeats arrive.
-  fleet::LeaseRow mLinkedTo; ///< From the last heartbeat; placement requests go to its address.
-  TimePoint mBeaconAt{};     ///< When the last holder heartbeat arrived.
-  TimePoint mNextBeacon{};
-  TimePoint mNextHello{};
-  std::string mKnownHolder; ///< Holder and incarnation in the last holder_changed log line.
-  bool mCouldOrder = false;
+  bool mHasRemoteDispatcher = false; ///< Another daemon is the dispatcher; its heartbeats arrive.
+  fleet::LeaseRow mDispatcherLease;  ///< From its last heartbeat; messages go to the address in it.
+  TimePoint mLastHeartbeatAt{};      ///< When its last heartbeat arrived.
+  TimePoint mNextHeartbeatAt{};
+  TimePoint mNextHelloAt{};
+  std::string mLoggedHolder; ///< Holder and incarnation in the last holder_changed log line.
+  bool mWasOrderingAllowed = false;
   bool mIsTickPosted = false;
   bool mIsClosed = false;
 };
--- a/src/fleet/fleet_message.cpp
+++ b/src/fleet/fleet_message.cpp
@@ -36,42 +36,42 @@
   return { { "daemon", aId.daemon.str() }, { "number", aId.number } };
 }
 
-AskId AskIdFrom(const Json& aJson)
+AskId PlacementRequestIdFrom(const Json& aJson)
 {
   return { .daemon = DaemonId{ aJson.at("daemon").get<std::string>() },
            .number = aJson.at("number").get<std::uint64_t>() };
 }
 
-Json ToJson(const PlacementAsk& aAsk)
+Json ToJson(const PlacementAsk& aRequest)
 {
   Json parts = Json::array();
-  for (const PromptPart& part : aAsk.work.parts) {
+  for (const PromptPart& part : aRequest.work.parts) {
     parts.push_back({ part.id, part.tokens });
   }
   Json excluded = Json::array();
-  for (const EndpointId& endpoint : aAsk.excluded) {
+  for (const EndpointId& endpoint : aRequest.excluded) {
     excluded.push_back(endpoint.str());
   }
-  return { { "id", ToJson(aAsk.id) },
-           { "request", aAsk.requestId },
-           { "route", aAsk.route },
-           { "service", aAsk.service.str() },
-           { "model", aAsk.work.target.model.str() },
-           { "adapter", aAsk.work.target.adapter.str() },
-           { "prompt", aAsk.work.promptTokens },
-           { "output", aAsk.work.outputTokens },
+  return { { "id", ToJson(aRequest.id) },
+           { "request", aRequest.requestId },
+           { "route", aRequest.route },
+           { "service", aRequest.service.str() },
+           { "model", aRequest.work.target.model.str() },
+           { "adapter", aRequest.work.target.adapter.str() },
+           { "prompt", aRequest.work.promptTokens },
+           { "output", aRequest.work.outputTokens },
            { "parts", std::move(parts) },
-           { "priority", aAsk.priority },
-           { "objective", aAsk.objective.count() },
-           { "left", aAsk.timeLeft.count() },
-           { "resumable", aAsk.isResumable },
+           { "priority", aRequest.priority },
+           { "objective", aRequest.objective.count() },
+           { "left", aRequest.timeLeft.count() },
+           { "resumable", aRequest.isResumable },
            { "excluded", std::move(excluded) } };
 }
 
-PlacementAsk AskFrom(const Json& aJson)
+PlacementAsk PlacementRequestFrom(const Json& aJson)
 {
-  PlacementAsk ask{
-    .id = AskIdFrom(aJson.at("id")),
+  PlacementAsk request{
+    .id = PlacementRequestIdFrom(aJson.at("id")),
     .requestId = aJson.at("request").get<std::string>(),
     .route = aJson.at("route").get<std::string>(),
     .service = ServiceId{ aJson.at("service").get<std::string>() },
@@ -87,20 +87,20 @@
     .excluded = {},
   };
   for (const Json& part : aJson.at("parts")) {
-    ask.work.parts.push_back(
+    request.work.parts.push_back(
       { .id = part.at(0).get<std::uint64_t>(), .tokens = part.at(1).get<std::uint32_t>() });
   }
   for (const Json& endpoint : aJson.at("excluded")) {
-    ask.excluded.emplace_back(endpoint.get<std::string>());
+    request.excluded.emplace_back(endpoint.get<std::string>());
   }
-  return ask;
+  return request;
 }
 
 Json ToJson(const PlacementReply& aReply)
 {
   Json json{ { "id", ToJson(aReply.id) } };
   std::visit(
-    Overloaded{ [&](const PlaceGranted& aGranted) { json["runner"] = aGranted.runner.str(); },
+    Overloaded{ [&](const PlaceGranted& aAssigned) { json["runner"] = aAssigned.runner.str(); },
                 [&](const PlaceRefused& aRefused) {
                   json["code"] = static_cast<int>(aRefused.code);
                   json["retry"] = aRefused.retryAfter.count();
@@ -112,7 +112,7 @@
 
 PlacementReply ReplyFrom(const Json& aJson)
 {
-  PlacementReply reply{ .id = AskIdFrom(aJson.at("id")), .answer = PlaceUnknown{} };
+  PlacementReply reply{ .id = PlacementRequestIdFrom(aJson.at("id")), .answer = PlaceUnknown{} };
   if (aJson.contains("runner")) {
     reply.answer = PlaceGranted{ EndpointId{ aJson.at("runner").get<std::string>() } };
   } else if (aJson.contains("code")) {
@@ -130,20 +130,20 @@
                               { "zone", aHello.zone.str() },
                               { "address", aHello.address } };
                },
-                [](const BeaconMessage& aBeacon) {
+                [](const HolderHeartbeatMessage& aHeartbeat) {
                   return Json{ { "kind", "beacon" },
-                               { "lease", ToJson(aBeacon.lease) },
-                               { "version", aBeacon.version.value },
-                               { "stalled", aBeacon.state == HolderState::kStalled },
-                               { "daemons", aBeacon.daemons } };
+                               { "lease", ToJson(aHeartbeat.lease) },
+                               { "version", aHeartbeat.version.value },
+                               { "stalled", aHeartbeat.state == HolderState::kStalled },
+                               { "daemons", aHeartbeat.daemons } };
                 },
                 [](const SuspectMessage& aSuspect) {
                   return Json{ { "kind", "suspect" },
                                { "request", aSuspect.request.str() },
                                { "cleared", aSuspect.isCleared } };
                 },
-                [](const PlacementAsk& aAsk) {
-                  return Json{ { "kind", "ask" }, { "ask", ToJson(aAsk) } };
+                [](const PlacementAsk& aRequest) {
+                  return Json{ { "kind", "ask" }, { "ask", ToJson(aRequest) } };
                 },
                 [](const PlaceReleased& aReleased) {
                   return Json{ { "kind", "released" },
@@ -151,10 +151,10 @@
                                { "end", static_cast<int>(aReleased.end) },
                                { "first", aReleased.firstEvent.count() } };
                 },
-                [](const PlaceInUse& aPlace) {
+                [](const PlaceInUse& aAssignment) {
                   return Json{ { "kind", "in_use" },
-                               { "ask", ToJson(aPlace.ask) },
-                               { "runner", aPlace.runner.str() } };
+                               { "ask", ToJson(aAssignment.ask) },
+                               { "runner", aAssignment.runner.str() } };
                 },
                 [](const PlacementReply& aReply) {
                   return Json{ { "kind", "reply" }, { "reply", ToJson(aReply) } };
@@ -170,26 +170,27 @@
                          .address = aJson.at("address").get<std::string>() };
   }
   if (kind == "beacon") {
-    return BeaconMessage{ .lease = LeaseFrom(aJson.at("lease")),
-                          .version = { aJson.at("version").get<std::uint64_t>() },
-                          .state = aJson.at("stalled").get<bool>() ? HolderState::kStalled
-                                                                   : HolderState::kRenewing,
-                          .daemons = aJson.at("daemons").get<std::uint32_t>() };
+    return HolderHeartbeatMessage{ .lease = LeaseFrom(aJson.at("lease")),
+                                   .version = { aJson.at("version").get<std::uint64_t>() },
+                                   .state = aJson.at("stalled").get<bool>()
+                                              ? HolderState::kStalled
+                                              : HolderState::kRenewing,
+                                   .daemons = aJson.at("daemons").get<std::uint32_t>() };
   }
   if (kind == "suspect") {
     return SuspectMessage{ .request = FingerprintId{ aJson.at("request").get<std::string>() },
                            .isCleared = aJson.value("cleared", false) };
   }
   if (kind == "ask") {
-    return AskFrom(aJson.at("ask"));
+    return PlacementRequestFrom(aJson.at("ask"));
   }
   if (kind == "released") {
-    return PlaceReleased{ .id = AskIdFrom(aJson.at("id")),
+    return PlaceReleased{ .id = PlacementRequestIdFrom(aJson.at("id")),
                           .end = static_cast<PlaceEnd>(aJson.at("end").get<int>()),
                           .firstEvent = Duration{ aJson.value("first", Duration::rep{ 0 }) } };
   }
   if (kind == "in_use") {
-    return PlaceInUse{ .ask = AskFrom(aJson.at("ask")),
+    return PlaceInUse{ .ask = PlacementRequestFrom(aJson.at("ask")),
                        .runner = EndpointId{ aJson.at("runner").get<std::string>() } };
   }
   if (kind == "reply") {
--- a/src/fleet/fleet_message.h
+++ b/src/fleet/fleet_message.h
@@ -22,7 +22,7 @@
 };
 
 /* Heartbeat of the dispatcher, which is the holder of the order lease, to its members. */
-struct BeaconMessage
+struct HolderHeartbeatMessage
 {
   fleet::LeaseRow lease;
   RowVersion version; ///< Of the lease row.
@@ -39,7 +39,7 @@
 };
 
 using FleetBody = std::variant<HelloMessage,
-                               BeaconMessage,
+                               HolderHeartbeatMessage,
                                SuspectMessage,
                                fleet::PlacementAsk,
                                fleet::PlaceReleased,
--- a/src/fleet/store_client.cpp
+++ b/src/fleet/store_client.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 /* Time limit of a read or write: twice the time of a call while the store was at its slowest. */
-constexpr Duration kCallLimit = 900ms;
-constexpr Duration kConnectLimit = 600ms;
+constexpr Duration kCallTimeout = 900ms;
+constexpr Duration kConnectTimeout = 600ms;
 /* Time allowed for the answer to a watch beyond the requested waiting time. */
 constexpr Duration kWatchMargin = 500ms;
 
@@ -53,13 +53,13 @@
 void StoreClient::Write(const platform::StoreWrite& aWrite, Handler aHandler)
 {
   ++mCounts.writes;
-  Start(platform::EncodeWrite(aWrite), kCallLimit, std::move(aHandler));
+  Start(platform::EncodeWrite(aWrite), kCallTimeout, std::move(aHandler));
 }
 
 void StoreClient::Read(const std::string& aTable, const std::string& aFirstKey, Handler aHandler)
 {
   ++mCounts.reads;
-  Start(platform::EncodeRead(aTable, aFirstKey), kCallLimit, std::move(aHandler));
+  Start(platform::EncodeRead(aTable, aFirstKey), kCallTimeout, std::move(aHandler));
 }
 
 void StoreClient::Watch(const std::string& aTable,
@@ -71,7 +71,7 @@
   Start(platform::EncodeWatch(aTable, aAfter, aWait), aWait + kWatchMargin, std::move(aHandler));
 }
 
-void StoreClient::Start(http::Request aRequest, Duration aLimit, Handler aHandler)
+void StoreClient::Start(http::Request aRequest, Duration aTimeout, Handler aHandler)
 {
   struct Progress
   {
@@ -107,9 +107,9 @@
   };
   mClient.Start({ .address = mAddress,
                   .request = std::move(aRequest),
-                  .connectTime = kConnectLimit,
-                  .answerTime = aLimit,
-                  .silenceTime = kCallLimit },
+                  .connectTime = kConnectTimeout,
+                  .answerTime = aTimeout,
+                  .silenceTime = kCallTimeout },
                 { .onHead =
                     [progress](const http::AnswerHead& aHead) {
                       progress->status = aHead.status;
--- a/src/fleet/store_client.h
+++ b/src/fleet/store_client.h
@@ -56,7 +56,7 @@
   const StoreCounts& counts() const { return mCounts; }
 
 private:
-  void Start(http::Request aRequest, Duration aLimit, Handler aHandler);
+  void Start(http::Request aRequest, Duration aTimeout, Handler aHandler);
 
   http::Client& mClient;
   std::string mAddress;
--- a/src/fleet/table_feed.cpp
+++ b/src/fleet/table_feed.cpp
@@ -11,8 +11,8 @@
 
 /* Backoff after the first failed call, and its maximum. The maximum stays well below the 3 s within
  * which a daemon must be up to date again after the store has recovered. */
-constexpr Duration kFirstPause = 100ms;
-constexpr Duration kLongestPause = 500ms;
+constexpr Duration kInitialBackoff = 100ms;
+constexpr Duration kMaxBackoff = 500ms;
 
 } // namespace
 
@@ -31,7 +31,7 @@
 
 void TableFeed::Start()
 {
-  ReadAll({});
+  ReadPage({});
 }
 
 void TableFeed::Stop()
@@ -40,9 +40,9 @@
   mTimer.cancel();
 }
 
-void TableFeed::Later(Duration aTime, std::function<void()> aNext)
+void TableFeed::RunAfter(Duration aDelay, std::function<void()> aNext)
 {
-  mTimer.expires_after(aTime);
+  mTimer.expires_after(aDelay);
   mTimer.async_wait([this, next = std::move(aNext)](boost::system::error_code aError) {
     if (!aError && !mIsStopped) {
       next();
@@ -50,10 +50,10 @@
   });
 }
 
-void TableFeed::ReadAll(const std::string& aFirstKey)
+void TableFeed::ReadPage(const std::string& aFirstKey)
 {
   if (aFirstKey.empty()) {
-    mRead.clear();
+    mScanVersions.clear();
   }
   mStore.Read(mOptions.table, aFirstKey, [this](const StoreResult& aResult) {
     if (!mIsStopped) {
@@ -68,33 +68,33 @@
     OnFailure(aResult);
     return;
   }
-  OnAnswer();
+  OnStoreAnswer();
   const auto& answer = aResult.answer;
-  if (mRead.empty()) {
+  if (mScanVersions.empty()) {
     // The watch starts here, so it delivers the changes made while the other pages are read.
-    mReadVersion = answer.newest;
+    mScanStartVersion = answer.newest;
   }
   for (const auto& row : answer.rows) {
-    mRead[row.key] = row.version;
-    Take(row);
+    mScanVersions[row.key] = row.version;
+    ApplyRow(row);
   }
   if (answer.isTruncated && !answer.rows.empty()) {
     // The next page starts behind the last key: at that key with a percent-encoded 0x01 appended.
-    ReadAll(answer.rows.back().key + "%01");
+    ReadPage(answer.rows.back().key + "%01");
     return;
   }
   std::vector<std::string> removed;
-  for (const auto& [key, version] : mVersions) {
-    if (!mRead.contains(key)) {
+  for (const auto& [key, version] : mRowVersions) {
+    if (!mScanVersions.contains(key)) {
       removed.push_back(key);
     }
   }
   for (const std::string& key : removed) {
-    mVersions.erase(key);
+    mRowVersions.erase(key);
     mHandlers.onRemoved(key);
   }
-  mVersion = std::max(mVersion, mReadVersion);
-  mRead.clear();
+  mVersion = std::max(mVersion, mScanStartVersion);
+  mScanVersions.clear();
   mIsSynced = true;
   mHandlers.onSynced();
   Watch();
@@ -102,8 +102,8 @@
 
 void TableFeed::Watch()
 {
-  mCalledAt = BootTime();
-  mStore.Watch(mOptions.table, mVersion, mOptions.wait, [this](const StoreResult& aResult) {
+  mWatchStartedAt = BootTime();
+  mStore.Watch(mOptions.table, mVersion, mOptions.watchTimeout, [this](const StoreResult& aResult) {
     if (!mIsStopped) {
       OnChanges(aResult);
     }
@@ -114,37 +114,37 @@
 {
   if (aResult.outcome == StoreOutcome::kHistoryGone) {
     mLog.Write("history_gone", { { "table", mOptions.table }, { "version", mVersion.value } });
-    ReadAll({});
+    ReadPage({});
     return;
   }
   if (aResult.outcome != StoreOutcome::kDone) {
     OnFailure(aResult);
     return;
   }
-  OnAnswer();
+  OnStoreAnswer();
   for (const auto& row : aResult.answer.rows) {
-    Take(row);
+    ApplyRow(row);
     mVersion = std::max(mVersion, row.version);
   }
   mVersion = std::max(mVersion, aResult.answer.newest);
   mHandlers.onSynced();
-  const Duration passed = BootTime() - mCalledAt;
+  const Duration passed = BootTime() - mWatchStartedAt;
   if (passed < mOptions.interval) {
-    Later(mOptions.interval - passed, [this] { Watch(); });
+    RunAfter(mOptions.interval - passed, [this] { Watch(); });
   } else {
     Watch();
   }
 }
 
-void TableFeed::Take(const platform::StoreRow& aRow)
+void TableFeed::ApplyRow(const platform::StoreRow& aRow)
 {
   if (aRow.isRemoved) {
-    if (mVersions.erase(aRow.key) > 0) {
+    if (mRowVersions.erase(aRow.key) > 0) {
       mHandlers.onRemoved(aRow.key);
     }
     return;
   }
-  RowVersion& known = mVersions[aRow.key];
+  RowVersion& known = mRowVersions[aRow.key];
   if (known.value != 0 && aRow.version <= known) {
     return; // This or a newer version of the row has been delivered already.
   }
@@ -152,11 +152,11 @@
   mHandlers.onRow(aRow);
 }
 
-void TableFeed::OnAnswer()
+void TableFeed::OnStoreAnswer()
 {
   mFailures = 0;
-  if (mIsLost) {
-    mIsLost = false;
+  if (mIsStoreLost) {
+    mIsStoreLost = false;
     mLog.Write("dependency_regained", { { "dependency", "store" }, { "table", mOptions.table } });
     mHandlers.onRegained();
   }
@@ -165,8 +165,8 @@
 void TableFeed::OnFailure(const StoreResult& aResult)
 {
   ++mFailures;
-  if (!mIsLost) {
-    mIsLost = true;
+  if (!mIsStoreLost) {
+    mIsStoreLost = true;
     mLog.Write("dependency_lost",
                { { "dependency", "store" },
                  { "table", mOptions.table },
@@ -175,12 +175,12 @@
     mHandlers.onLost();
   }
   const auto doublings = std::min<std::uint32_t>(mFailures, 4) - 1;
-  const Duration pause = std::min(kFirstPause * (1 << doublings), kLongestPause);
-  Later(pause, [this] {
+  const Duration backoff = std::min(kInitialBackoff * (1 << doublings), kMaxBackoff);
+  RunAfter(backoff, [this] {
     if (mIsSynced) {
       Watch();
     } else {
-      ReadAll({});
+      ReadPage({});
     }
   });
 }
--- a/src/fleet/table_feed.h
+++ b/src/fleet/table_feed.h
@@ -15,8 +15,8 @@
 struct TableFeedOptions
 {
   std::string table;
-  Duration wait = 2'300ms; ///< How long the store may hold a watch open when there is no change.
-  Duration interval{};     ///< Minimum time between the starts of two watches.
+  Duration watchTimeout = 2'300ms; ///< How long the store may hold a watch without changes open.
+  Duration interval{};             ///< Minimum time between the starts of two watches.
 };
 
 struct TableFeedHandlers
@@ -45,33 +45,33 @@
   void SetInterval(Duration aInterval) { mOptions.interval = aInterval; }
 
   bool isSynced() const { return mIsSynced; }
-  bool isLost() const { return mIsLost; }
+  bool isLost() const { return mIsStoreLost; }
   /* Returns the version up to which all changes have been delivered. */
   RowVersion version() const { return mVersion; }
 
 private:
-  void ReadAll(const std::string& aFirstKey);
+  void ReadPage(const std::string& aFirstKey);
   void OnPage(const StoreResult& aResult);
   void Watch();
   void OnChanges(const StoreResult& aResult);
-  void Take(const platform::StoreRow& aRow);
+  void ApplyRow(const platform::StoreRow& aRow);
   void OnFailure(const StoreResult& aResult);
-  void OnAnswer();
-  void Later(Duration aTime, std::function<void()> aNext);
+  void OnStoreAnswer();
+  void RunAfter(Duration aDelay, std::function<void()> aNext);
 
   boost::asio::steady_timer mTimer;
   StoreClient& mStore;
   EventLog& mLog;
   TableFeedOptions mOptions;
   TableFeedHandlers mHandlers;
-  std::map<std::string, RowVersion> mVersions; ///< Versions of the delivered rows, by key.
-  std::map<std::string, RowVersion> mRead;     ///< Rows found so far by the current full read.
-  RowVersion mVersion;         ///< All changes up to this version have been delivered.
-  RowVersion mReadVersion;     ///< Store version at the first page of the current full read.
-  TimePoint mCalledAt{};       ///< When the last watch was started.
-  std::uint32_t mFailures = 0; ///< Failed calls since the last answer.
+  std::map<std::string, RowVersion> mRowVersions;  ///< Versions of the delivered rows, by key.
+  std::map<std::string, RowVersion> mScanVersions; ///< Rows found so far by the current full read.
+  RowVersion mVersion;          ///< All changes up to this version have been delivered.
+  RowVersion mScanStartVersion; ///< Store version at the first page of the current full read.
+  TimePoint mWatchStartedAt{};  ///< When the last watch was started.
+  std::uint32_t mFailures = 0;  ///< Failed calls since the last answer.
   bool mIsSynced = false;
-  bool mIsLost = false;
+  bool mIsStoreLost = false;
   bool mIsStopped = false;
 };
 
--- a/tests/fleet/fleet_message_test.cpp
+++ b/tests/fleet/fleet_message_test.cpp
@@ -80,10 +80,10 @@
                         .address = "10.0.0.1:1",
                         .hasWaited = true,
                         .renewals = 9 };
-  const auto beacon = Back<BeaconMessage>(BeaconMessage{
+  const auto heartbeat = Back<HolderHeartbeatMessage>(HolderHeartbeatMessage{
     .lease = lease, .version = { 12 }, .state = HolderState::kStalled, .daemons = 8 });
-  CHECK(beacon.lease == lease);
-  CHECK(beacon.state == HolderState::kStalled);
+  CHECK(heartbeat.lease == lease);
+  CHECK(heartbeat.state == HolderState::kStalled);
   CHECK(Back<HelloMessage>(HelloMessage{ .zone = ZoneId{ "a" }, .address = "x:1" }).address ==
         "x:1");
   CHECK(Back<SuspectMessage>(SuspectMessage{ .request = FingerprintId{ "f" }, .isCleared = true })
