--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -217,7 +217,7 @@
     if (wasHolder && !isHolder) {
       mMembers.clear();
       mServices.dispatcher.Clear();
-      mServices.placement.OnLost();
+      mServices.placement.OnDispatcherLost();
     }
     mNextHelloAt = now;
   }
@@ -296,7 +296,7 @@
                         { "why", aReason },
                         { "heard_ms_ago", Milliseconds(BootTime() - mLastHeartbeatAt) } });
   mLink.Disconnect(mDispatcherLease.address);
-  mServices.placement.OnLost();
+  mServices.placement.OnDispatcherLost();
 }
 
 void FleetMember::OnMessage(const std::string& aBytes)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -40,7 +40,7 @@
   std::shared_ptr<const fleet::FleetConfiguration> configuration; ///< Null until the first is read.
   fleet::RetryShare retries;
   fleet::CrashGuard crashes;
-  std::uint64_t nextAsk = 1;
+  std::uint64_t nextPlacementNumber = 1;
   std::set<RequestFlow*> openRequests;
   bool isLeaving = false; ///< The daemon is about to stop and refuses new requests.
 };
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -10,12 +10,12 @@
 {
 }
 
-bool PlacementClient::Ask(const fleet::PlacementAsk& aAsk, Handler aHandler)
+bool PlacementClient::RequestAssignment(const fleet::PlacementAsk& aRequest, Handler aHandler)
 {
   // Stored before sending, so that even a reply that arrives during the call finds its request.
-  mOpen.insert_or_assign(aAsk.id, Open{ aAsk, std::move(aHandler) });
-  if (!mSender(fleet::DispatchMessage{ aAsk })) {
-    mOpen.erase(aAsk.id);
+  mPendingRequests.insert_or_assign(aRequest.id, PendingRequest{ aRequest, std::move(aHandler) });
+  if (!mSender(fleet::DispatchMessage{ aRequest })) {
+    mPendingRequests.erase(aRequest.id);
     return false;
   }
   return true;
@@ -23,7 +23,7 @@
 
 void PlacementClient::Release(const fleet::PlaceReleased& aReleased)
 {
-  if (mOpen.erase(aReleased.id) + mPlaces.erase(aReleased.id) > 0) {
+  if (mPendingRequests.erase(aReleased.id) + mAssignments.erase(aReleased.id) > 0) {
     // The result does not matter: a dispatcher that receives no more messages from this daemon
     // releases its assignments by itself.
     mSender(fleet::DispatchMessage{ aReleased });
@@ -32,38 +32,38 @@
 
 void PlacementClient::OnReply(const fleet::PlacementReply& aReply)
 {
-  const auto found = mOpen.find(aReply.id);
-  if (found == mOpen.end()) {
-    // Answered already, given up by OnLost(), or withdrawn by Release(), which notified the
-    // dispatcher.
+  const auto found = mPendingRequests.find(aReply.id);
+  if (found == mPendingRequests.end()) {
+    // Answered already, given up by OnDispatcherLost(), or withdrawn by Release(), which notified
+    // the dispatcher.
     return;
   }
-  const Open open = std::move(found->second);
-  mOpen.erase(found);
+  const PendingRequest pending = std::move(found->second);
+  mPendingRequests.erase(found);
   if (const auto* granted = std::get_if<fleet::PlaceGranted>(&aReply.answer)) {
-    mPlaces.insert_or_assign(aReply.id, fleet::PlaceInUse{ open.ask, granted->runner });
+    mAssignments.insert_or_assign(aReply.id, fleet::PlaceInUse{ pending.ask, granted->runner });
   }
-  open.handler(aReply);
+  pending.handler(aReply);
 }
 
 void PlacementClient::OnNewDispatcher()
 {
-  for (const auto& [id, place] : mPlaces) {
-    mSender(fleet::DispatchMessage{ place });
+  for (const auto& [id, assignment] : mAssignments) {
+    mSender(fleet::DispatchMessage{ assignment });
   }
-  const auto open = mOpen;
-  for (const auto& [id, question] : open) {
-    if (mOpen.contains(id)) {
-      mSender(fleet::DispatchMessage{ question.ask });
+  const auto pending = mPendingRequests;
+  for (const auto& [id, pendingRequest] : pending) {
+    if (mPendingRequests.contains(id)) {
+      mSender(fleet::DispatchMessage{ pendingRequest.ask });
     }
   }
 }
 
-void PlacementClient::OnLost()
+void PlacementClient::OnDispatcherLost()
 {
-  const auto open = std::exchange(mOpen, {});
-  for (const auto& [id, question] : open) {
-    question.handler({ .id = id, .answer = fleet::PlaceUnknown{} });
+  const auto pending = std::exchange(mPendingRequests, {});
+  for (const auto& [id, pendingRequest] : pending) {
+    pendingRequest.handler({ .id = id, .answer = fleet::PlaceUnknown{} });
   }
 }
 
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -25,7 +25,7 @@
   /* Requests an assignment. The handler is called once, unless Release() withdraws the request
    * first. Returns false if no dispatcher can be reached. The request is not kept then, and the
    * handler is not called. */
-  bool Ask(const fleet::PlacementAsk& aAsk, Handler aHandler);
+  bool RequestAssignment(const fleet::PlacementAsk& aRequest, Handler aHandler);
   /* Withdraws a pending placement request, or releases an assignment. Notifies the dispatcher. Does
    * nothing if neither exists. */
   void Release(const fleet::PlaceReleased& aReleased);
@@ -36,20 +36,20 @@
    * because it is new or was restarted. */
   void OnNewDispatcher();
   /* No dispatcher can be reached: answers all pending placement requests with PlaceUnknown. */
-  void OnLost();
+  void OnDispatcherLost();
 
-  std::size_t openQuestions() const { return mOpen.size(); }
+  std::size_t openQuestions() const { return mPendingRequests.size(); }
 
 private:
-  struct Open
+  struct PendingRequest
   {
     fleet::PlacementAsk ask;
     Handler handler;
   };
 
   Sender mSender;
-  std::map<fleet::AskId, Open> mOpen;
-  std::map<fleet::AskId, fleet::PlaceInUse> mPlaces;
+  std::map<fleet::AskId, PendingRequest> mPendingRequests;
+  std::map<fleet::AskId, fleet::PlaceInUse> mAssignments;
 };
 
 } // namespace rhubarbtrail
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -16,14 +16,14 @@
 constexpr unsigned kFirstServerError = 500;
 
 /* Returns whether a status tells clients that the request has not run. */
-bool IsPromise(unsigned aStatus)
+bool StatesNotRun(unsigned aStatus)
 {
   return aStatus == 408 || aStatus == 421 || aStatus == 429 || aStatus == 503;
 }
 
 /* Returns the request class for metrics. It is built from the kind and priority of the route,
  * because route names change too often. */
-ClassId ClassOf(const fleet::Route* aRoute)
+ClassId RequestClassOf(const fleet::Route* aRoute)
 {
   if (aRoute == nullptr) {
     return ClassId{ "none" };
@@ -41,17 +41,17 @@
 
 } // namespace
 
-void RequestFlow::PassAnswer()
+void RequestFlow::ForwardAnswer()
 {
   const unsigned status = mAttempt.head->status;
   if (mAttempt.isStream) {
     SendHeadOnce();
-    mResponder->SendBody(mEvents.rest());
+    mResponder->SendBody(mEventSplitter.rest());
     mResponder->Finish();
     End("answered", ResultCode::kOk, status);
     return;
   }
-  if (IsPromise(status)) {
+  if (StatesNotRun(status)) {
     // The endpoint may have run the request, but this status would tell the client that it has not.
     Fail(ResultCode::kAttemptsExhausted, "status_would_promise_not_run");
     return;
@@ -67,7 +67,7 @@
   End(status < kFirstServerError ? "answered" : "endpoint_failure", ResultCode::kOk, status);
 }
 
-void RequestFlow::Answer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter)
+void RequestFlow::SendOwnAnswer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter)
 {
   const ResultCodeInfo& info = Describe(aCode);
   http::AnswerHead head = platform::EncodeOwnAnswer(aStatus, mClient.requestId, aRetryAfter);
@@ -84,7 +84,7 @@
 bool RequestFlow::MayAnswer(std::string_view aReason)
 {
   if (!mIsEnded && mIsHeadSent) {
-    Cut(aReason);
+    AbortAnswer(aReason);
   }
   return !mIsEnded && !mIsHeadSent;
 }
@@ -102,8 +102,8 @@
                        { "code", static_cast<int>(aCode) },
                        { "retry_after_ms", Milliseconds(aRetryAfter) },
                        { "waited_ms", Milliseconds(BootTime() - mArrivedAt) },
-                       { "refusals", mState.refusals } });
-  Answer(aCode, info.httpStatus, aRetryAfter);
+                       { "refusals", mAttemptState.refusals } });
+  SendOwnAnswer(aCode, info.httpStatus, aRetryAfter);
   End("refused", aCode, info.httpStatus);
 }
 
@@ -119,24 +119,24 @@
                      { { "id", mClient.requestId },
                        { "reason", aReason },
                        { "code", static_cast<int>(aCode) },
-                       { "runs", mState.runs },
+                       { "runs", mAttemptState.runs },
                        { "endpoint", mAttempt.endpoint },
                        { "waited_ms", Milliseconds(BootTime() - mArrivedAt) } });
   const unsigned status =
-    IsPromise(info.httpStatus) && mState.runs > 0 ? kBadGateway : info.httpStatus;
-  Answer(aCode, status, Duration::zero());
+    StatesNotRun(info.httpStatus) && mAttemptState.runs > 0 ? kBadGateway : info.httpStatus;
+  SendOwnAnswer(aCode, status, Duration::zero());
   End("failed", aCode, status);
 }
 
 /* Breaks off an answer of which a part has been forwarded, and ends the request. */
-void RequestFlow::Cut(std::string_view aReason)
+void RequestFlow::AbortAnswer(std::string_view aReason)
 {
   mContext.log.Write("stream_cut",
                      { { "id", mClient.requestId },
                        { "reason", aReason },
                        { "endpoint", mAttempt.endpoint },
-                       { "events_passed", mEventsPassed },
-                       { "runs", mState.runs } });
+                       { "events_passed", mEventsForwarded },
+                       { "runs", mAttemptState.runs } });
   mResponder->Abort();
   End("cut", ResultCode::kAnswerLost, 0);
 }
@@ -152,7 +152,7 @@
   mResponder->OnGone(nullptr);
   mResponder->OnDrained(nullptr);
   mContext.metrics.Note(
-    { .code = aCode, .requestClass = ClassOf(mRoute), .latency = now - mArrivedAt });
+    { .code = aCode, .requestClass = RequestClassOf(mRoute), .latency = now - mArrivedAt });
   mContext.log.Write(
     "request_ended",
     { { "id", mClient.requestId },
@@ -161,7 +161,7 @@
       { "endpoint", mAttempt.endpoint },
       { "took_ms", Milliseconds(now - mArrivedAt) },
       { "first_event_ms", mIsHeadSent ? Milliseconds(mFirstByteAt - mArrivedAt) : -1 },
-      { "events", mEventsPassed } });
+      { "events", mEventsForwarded } });
 }
 
 } // namespace rhubarbtrail
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -21,37 +21,37 @@
 /* Time limit of a request that states no deadline. */
 constexpr Duration kDefaultTimeLeft = 30s;
 /* Time between two tries to select an endpoint while none is available. */
-constexpr Duration kLookInterval = 40ms;
-/* A request waits for an available endpoint for this fraction (1 / kWaitDivisor) of the time
- * between its arrival and its deadline. */
-constexpr int kWaitDivisor = 3;
+constexpr Duration kSelectionInterval = 40ms;
+/* A request waits for an available endpoint for this fraction (1 / kEndpointWaitDivisor) of the
+ * time between its arrival and its deadline. */
+constexpr int kEndpointWaitDivisor = 3;
 /* Retry time sent to clients when no better estimate is available. */
-constexpr Duration kRetryLater = 500ms;
+constexpr Duration kDefaultRetryAfter = 500ms;
 /* Retry time sent to clients when this daemon stops: other daemons can take the request now. */
-constexpr Duration kRetryAtOnce = 50ms;
+constexpr Duration kShutdownRetryAfter = 50ms;
 /* Time limit for connecting to an endpoint. Connecting normally takes a few milliseconds. */
-constexpr Duration kConnectLimit = 250ms;
+constexpr Duration kConnectTimeout = 250ms;
 /* Time limit for the response head of an attempt that may be repeated, as a multiple of the route's
  * objective, and the minimum of this limit. */
-constexpr int kSilenceObjectives = 3;
-constexpr Duration kLeastSilence = 250ms;
+constexpr int kAnswerTimeoutObjectives = 3;
+constexpr Duration kMinAnswerTimeout = 250ms;
 /* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
  * of the route's pause objective. It lies below the eight at which clients give up. */
-constexpr int kSilencePauses = 4;
+constexpr int kStreamTimeoutPauses = 4;
 /* Clients give up a stream when nothing arrives for two seconds, four times the objective or eight
  * times the pause objective, whichever is longest. */
-constexpr Duration kLeastPatience = 2s;
-constexpr int kPatienceObjectives = 4;
-constexpr int kPatiencePauses = 8;
+constexpr Duration kMinClientTimeout = 2s;
+constexpr int kClientTimeoutObjectives = 4;
+constexpr int kClientTimeoutPauses = 8;
 /* When more bytes than this are not yet sent to the client, reading from the endpoint is paused
  * until all are sent. */
-constexpr std::size_t kUnsentLimit = 256U << 10U;
+constexpr std::size_t kUnsentBytesLimit = 256U << 10U;
 /* Maximum body size, in bytes, of an answer that is buffered before it is forwarded. */
-constexpr std::size_t kStoredAnswerLimit = 8U << 20U;
+constexpr std::size_t kBufferedAnswerLimit = 8U << 20U;
 
 constexpr unsigned kFirstServerError = 500;
 
-std::string_view HostName(std::string_view aHost)
+std::string_view HostWithoutPort(std::string_view aHost)
 {
   return aHost.substr(0, aHost.rfind(':'));
 }
@@ -83,7 +83,7 @@
   return XXH3_64bits(aClient.requestId.data(), aClient.requestId.size());
 }
 
-fleet::PlaceEnd PlaceEndOf(AttemptEnd aEnd)
+fleet::PlaceEnd AssignmentEndOf(AttemptEnd aEnd)
 {
   switch (aEnd) {
     case AttemptEnd::kAnswered:
@@ -126,9 +126,10 @@
   mConfiguration = mContext.configuration;
   std::string reason;
   ResultCode code = ResultCode::kOk;
-  if (!CheckRoute(reason, code)) {
+  if (!AdmitRequest(reason, code)) {
     if (Describe(code).execution == Execution::kNotRun && Describe(code).httpStatus == 503) {
-      Refuse(code, code == ResultCode::kShuttingDown ? kRetryAtOnce : kRetryLater, reason);
+      Refuse(
+        code, code == ResultCode::kShuttingDown ? kShutdownRetryAfter : kDefaultRetryAfter, reason);
     } else {
       Fail(code, reason);
     }
@@ -137,7 +138,7 @@
   OnRouted();
 }
 
-bool RequestFlow::CheckRoute(std::string& aReason, ResultCode& aCode)
+bool RequestFlow::AdmitRequest(std::string& aReason, ResultCode& aCode)
 {
   if (mContext.isLeaving) {
     aReason = "the daemon stops";
@@ -149,7 +150,7 @@
     aCode = ResultCode::kConfigurationStale;
     return false;
   }
-  const auto host = HostName(http::Find(mRequest.fields, "Host").value_or(""));
+  const auto host = HostWithoutPort(http::Find(mRequest.fields, "Host").value_or(""));
   mRoute = mConfiguration->Match(host, PathOf(mRequest.target));
   if (mRoute == nullptr) {
     aReason = "no route matches";
@@ -178,9 +179,9 @@
     timeLeft = std::min(timeLeft, mRoute->timeout);
   }
   mDeadline = mArrivedAt + timeLeft;
-  mState = { .maxAttempts = mRoute->maxAttempts,
-             .kind = mRoute->kind,
-             .isResumable = mRoute->kind == RouteKind::kStream && mRoute->isResumable };
+  mAttemptState = { .maxAttempts = mRoute->maxAttempts,
+                    .kind = mRoute->kind,
+                    .isResumable = mRoute->kind == RouteKind::kStream && mRoute->isResumable };
   mContext.retries.NoteRequest(mArrivedAt, mService);
   mResponder->OnGone([self = shared_from_this()] { self->OnClientGone(); });
   mDeadlineTimer.expires_after(timeLeft);
@@ -197,7 +198,7 @@
                        { "adapter", UsesModels() ? mClient.work->target.adapter.str() : "" },
                        { "time_left_ms", Milliseconds(timeLeft) },
                        { "config_version", mConfiguration->version.value } });
-  Place();
+  SelectEndpoint();
 }
 
 /* Selects a service of the route by weight and a hash of the request id, so that a repeated request
@@ -225,26 +226,26 @@
 }
 
 /* Returns the time after arrival at which a client gives up a stream that has no event yet. */
-Duration RequestFlow::Patience() const
+Duration RequestFlow::ClientTimeout() const
 {
-  return std::max({ kLeastPatience,
-                    mRoute->objective * kPatienceObjectives,
-                    mRoute->pauseObjective * kPatiencePauses });
+  return std::max({ kMinClientTimeout,
+                    mRoute->objective * kClientTimeoutObjectives,
+                    mRoute->pauseObjective * kClientTimeoutPauses });
 }
 
-void RequestFlow::Place()
+void RequestFlow::SelectEndpoint()
 {
   if (UsesModels()) {
-    PlaceByDispatcher();
+    SelectByDispatcher();
   } else {
-    PlaceLocally("by_load");
+    SelectLocally("by_load");
   }
 }
 
-void RequestFlow::PlaceByDispatcher()
+void RequestFlow::SelectByDispatcher()
 {
-  const fleet::AskId id{ .daemon = mContext.self, .number = mContext.nextAsk++ };
-  fleet::PlacementAsk ask{
+  const fleet::AskId id{ .daemon = mContext.self, .number = mContext.nextPlacementNumber++ };
+  fleet::PlacementAsk placementRequest{
     .id = id,
     .requestId = mClient.requestId,
     .route = mRoute->name,
@@ -252,46 +253,47 @@
     .work = *mClient.work,
     .priority = mRoute->priority,
     .objective = std::max(mRoute->objective - (BootTime() - mArrivedAt), Duration::zero()),
-    .timeLeft = std::min(TimeLeft(), Patience() - (BootTime() - mArrivedAt)),
-    .isResumable = mState.isResumable,
-    .excluded = { mFailedAt.begin(), mFailedAt.end() },
+    .timeLeft = std::min(TimeLeft(), ClientTimeout() - (BootTime() - mArrivedAt)),
+    .isResumable = mAttemptState.isResumable,
+    .excluded = { mFailedEndpoints.begin(), mFailedEndpoints.end() },
   };
-  mPlace = id;
-  const bool isAsked =
-    mContext.placement.Ask(ask, [weak = weak_from_this()](const fleet::PlacementReply& aReply) {
+  mPlacementId = id;
+  const bool isRequested = mContext.placement.RequestAssignment(
+    placementRequest, [weak = weak_from_this()](const fleet::PlacementReply& aReply) {
       if (const auto self = weak.lock()) {
-        self->OnPlaced(aReply);
+        self->OnPlacementReply(aReply);
       }
     });
-  if (!isAsked) {
-    mPlace.reset();
-    PlaceLocally("no_dispatcher");
+  if (!isRequested) {
+    mPlacementId.reset();
+    SelectLocally("no_dispatcher");
   }
 }
 
-void RequestFlow::OnPlaced(const fleet::PlacementReply& aReply)
+void RequestFlow::OnPlacementReply(const fleet::PlacementReply& aReply)
 {
   if (mIsEnded) {
     return;
   }
-  std::visit(
-    Overloaded{ [&](const fleet::PlaceGranted& aGranted) { Send(aGranted.runner, "dispatched"); },
-                [&](const fleet::PlaceRefused& aRefused) {
-                  mPlace.reset();
-                  if (mState.runs == 0) {
-                    Refuse(aRefused.code, aRefused.retryAfter, "refused_by_dispatcher");
-                  } else {
-                    Fail(ResultCode::kAttemptsExhausted, "no_place_for_next_attempt");
-                  }
-                },
-                [&](const fleet::PlaceUnknown&) {
-                  mPlace.reset();
-                  PlaceLocally("dispatcher_lost");
-                } },
-    aReply.answer);
-}
-
-void RequestFlow::PlaceLocally(std::string_view aWhy)
+  std::visit(Overloaded{ [&](const fleet::PlaceGranted& aAssigned) {
+                          SendToEndpoint(aAssigned.runner, "dispatched");
+                        },
+                         [&](const fleet::PlaceRefused& aRefused) {
+                           mPlacementId.reset();
+                           if (mAttemptState.runs == 0) {
+                             Refuse(aRefused.code, aRefused.retryAfter, "refused_by_dispatcher");
+                           } else {
+                             Fail(ResultCode::kAttemptsExhausted, "no_place_for_next_attempt");
+                           }
+                         },
+                         [&](const fleet::PlaceUnknown&) {
+                           mPlacementId.reset();
+                           SelectLocally("dispatcher_lost");
+                         } },
+             aReply.answer);
+}
+
+void RequestFlow::SelectLocally(std::string_view aSelectionReason)
 {
   const TimePoint now = BootTime();
   const auto chosen =
@@ -300,9 +302,9 @@
                               .zone = mContext.zone,
                               .model = UsesModels() ? &mClient.work->target : nullptr,
                               .affinity = AffinityOf(mClient),
-                              .excluded = &mFailedAt });
+                              .excluded = &mFailedEndpoints });
   if (chosen) {
-    Send(*chosen, aWhy);
+    SendToEndpoint(*chosen, aSelectionReason);
     return;
   }
   WaitForEndpoint();
@@ -311,57 +313,58 @@
 void RequestFlow::WaitForEndpoint()
 {
   const TimePoint now = BootTime();
-  const Duration patience = (mDeadline - mArrivedAt) / kWaitDivisor;
-  if (now - mArrivedAt >= patience) {
-    if (mState.runs == 0) {
-      Refuse(ResultCode::kEndpointUnavailable, kRetryLater, "no_endpoint");
+  const Duration maxWait = (mDeadline - mArrivedAt) / kEndpointWaitDivisor;
+  if (now - mArrivedAt >= maxWait) {
+    if (mAttemptState.runs == 0) {
+      Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "no_endpoint");
     } else {
       Fail(ResultCode::kAttemptsExhausted, "no_endpoint_for_next_attempt");
     }
     return;
   }
   // An endpoint that failed this request may be the only one left, so it may be chosen again.
-  if (mState.refusals > 0 || mState.runs > 0) {
-    mFailedAt.clear();
+  if (mAttemptState.refusals > 0 || mAttemptState.runs > 0) {
+    mFailedEndpoints.clear();
   }
-  mWaitTimer.expires_after(kLookInterval);
+  mWaitTimer.expires_after(kSelectionInterval);
   mWaitTimer.async_wait([self = shared_from_this()](boost::system::error_code aError) {
     if (!aError && !self->mIsEnded) {
-      self->Place();
+      self->SelectEndpoint();
     }
   });
 }
 
-Duration RequestFlow::AnswerLimit() const
+Duration RequestFlow::AnswerTimeout() const
 {
   const Duration left = TimeLeft();
-  if (!mState.isResumable && !mRoute->MayRepeat()) {
+  if (!mAttemptState.isResumable && !mRoute->MayRepeat()) {
     return left; // The request cannot be repeated, so an earlier time-out would gain nothing.
   }
-  const bool isLastAttempt = mState.runs + 1 >= mState.maxAttempts;
+  const bool isLastAttempt = mAttemptState.runs + 1 >= mAttemptState.maxAttempts;
   return isLastAttempt
            ? left
-           : std::min(left, std::max(mRoute->objective * kSilenceObjectives, kLeastSilence));
+           : std::min(left,
+                      std::max(mRoute->objective * kAnswerTimeoutObjectives, kMinAnswerTimeout));
 }
 
-void RequestFlow::Send(const EndpointId& aEndpoint, std::string_view aWhy)
+void RequestFlow::SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason)
 {
   const TimePoint now = BootTime();
   const fleet::KnownRunner* runner = mContext.runners.Find(aEndpoint);
   const fleet::Exclusion exclusion =
     runner == nullptr ? fleet::Exclusion::kGone : mContext.runners.Check(now, *runner);
-  const bool isRepeat = mState.runs + mState.refusals > 0;
+  const bool isRepeat = mAttemptState.runs + mAttemptState.refusals > 0;
   if (exclusion == fleet::Exclusion::kGone || exclusion == fleet::Exclusion::kLeaving) {
-    ReleasePlace(fleet::PlaceEnd::kLost);
+    ReleaseAssignment(fleet::PlaceEnd::kLost);
     WaitForEndpoint();
     return;
   }
   if (isRepeat && !mContext.retries.Take(now, mService)) {
-    ReleasePlace(fleet::PlaceEnd::kWithdrawn);
-    if (mState.runs == 0) {
-      Refuse(ResultCode::kEndpointUnavailable, kRetryLater, "retry_share_spent");
+    ReleaseAssignment(fleet::PlaceEnd::kWithdrawn);
+    if (mAttemptState.runs == 0) {
+      Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "retry_share_spent");
     } else if (mIsHeadSent) {
-      Cut("retry_share_spent");
+      AbortAnswer("retry_share_spent");
     } else {
       Fail(ResultCode::kAttemptsExhausted, "retry_share_spent");
     }
@@ -375,8 +378,8 @@
   mContext.log.Write("request_sent",
                      { { "id", mClient.requestId },
                        { "endpoint", aEndpoint },
-                       { "why", aWhy },
-                       { "attempt", mState.runs + mState.refusals + 1 },
+                       { "why", aSelectionReason },
+                       { "attempt", mAttemptState.runs + mAttemptState.refusals + 1 },
                        { "waited_ms", Milliseconds(now - mArrivedAt) },
                        { "entry_age_ms", Milliseconds(now - runner->changedAt) },
                        { "last_event", mLastEventId } });
@@ -390,10 +393,10 @@
                                          .hasPriority = UsesModels(),
                                          .lastEventId = mLastEventId }),
     .reuse = mayRepeat ? http::Reuse::kAllowed : http::Reuse::kFresh,
-    .connectTime = kConnectLimit,
-    .answerTime = AnswerLimit(),
-    .silenceTime = mState.isResumable && mRoute->pauseObjective > Duration::zero()
-                     ? mRoute->pauseObjective * kSilencePauses
+    .connectTime = kConnectTimeout,
+    .answerTime = AnswerTimeout(),
+    .silenceTime = mAttemptState.isResumable && mRoute->pauseObjective > Duration::zero()
+                     ? mRoute->pauseObjective * kStreamTimeoutPauses
                      : Duration::zero(),
   };
   const auto weak = weak_from_this();
@@ -415,32 +418,32 @@
 
 bool RequestFlow::OnHead(const http::AnswerHead& aHead)
 {
-  auto meaning = platform::DecodeEndpointAnswer(aHead);
-  if (!meaning.requestId.empty() && meaning.requestId != mClient.requestId) {
+  auto decodedHead = platform::DecodeEndpointAnswer(aHead);
+  if (!decodedHead.requestId.empty() && decodedHead.requestId != mClient.requestId) {
     mContext.log.Write("foreign_answer_skipped",
                        { { "id", mClient.requestId },
                          { "endpoint", mAttempt.endpoint },
-                         { "answer_id", meaning.requestId } });
+                         { "answer_id", decodedHead.requestId } });
     return false;
   }
-  if (meaning.load) {
-    mContext.runners.NoteLoad(BootTime(), mAttempt.endpoint, *meaning.load);
+  if (decodedHead.load) {
+    mContext.runners.NoteLoad(BootTime(), mAttempt.endpoint, *decodedHead.load);
   }
   const bool isSuccess = aHead.status >= 200 && aHead.status < 300;
-  mAttempt.isInvalid = !meaning.isNotRun && (!meaning.isSigned || meaning.isEncoded);
+  mAttempt.isInvalid = !decodedHead.isNotRun && (!decodedHead.isSigned || decodedHead.isEncoded);
   mAttempt.isStream = isSuccess && !mAttempt.isInvalid && mRoute->kind == RouteKind::kStream;
   mAttempt.head = aHead;
-  mAttempt.meaning = std::move(meaning);
+  mAttempt.decodedHead = std::move(decodedHead);
   return true;
 }
 
 void RequestFlow::OnBody(std::string_view aBytes)
 {
-  if (mIsEnded || mAttempt.isInvalid || mAttempt.meaning.isNotRun) {
+  if (mIsEnded || mAttempt.isInvalid || mAttempt.decodedHead.isNotRun) {
     return;
   }
   if (!mAttempt.isStream) {
-    if (mAttempt.body.size() + aBytes.size() > kStoredAnswerLimit) {
+    if (mAttempt.body.size() + aBytes.size() > kBufferedAnswerLimit) {
       mAttempt.isInvalid = true;
       mAttempt.body.clear();
       return;
@@ -448,9 +451,9 @@
     mAttempt.body += aBytes;
     return;
   }
-  mEvents.Feed(aBytes);
-  PassEvents();
-  if (mResponder->unsentBytes() > kUnsentLimit && mAttempt.call) {
+  mEventSplitter.Feed(aBytes);
+  ForwardEvents();
+  if (mResponder->unsentBytes() > kUnsentBytesLimit && mAttempt.call) {
     mAttempt.call->Pause();
     mResponder->OnDrained([weak = weak_from_this()] {
       if (const auto self = weak.lock(); self && self->mAttempt.call) {
@@ -461,25 +464,25 @@
 }
 
 /* Forwards all events that have arrived completely. */
-void RequestFlow::PassEvents()
+void RequestFlow::ForwardEvents()
 {
-  std::string passed;
-  while (auto event = mEvents.Next()) {
+  std::string forwarded;
+  while (auto event = mEventSplitter.Next()) {
     std::string id = platform::EventId(*event);
     if (!id.empty()) {
       mLastEventId = std::move(id);
     }
-    ++mEventsPassed;
-    passed += *event;
+    ++mEventsForwarded;
+    forwarded += *event;
   }
-  if (!passed.empty() && mAttempt.firstEvent == Duration::zero()) {
-    mAttempt.firstEvent = BootTime() - mAttempt.startedAt;
+  if (!forwarded.empty() && mAttempt.timeToFirstEvent == Duration::zero()) {
+    mAttempt.timeToFirstEvent = BootTime() - mAttempt.startedAt;
   }
-  if (passed.empty()) {
+  if (forwarded.empty()) {
     return;
   }
   SendHeadOnce();
-  mResponder->SendBody(passed);
+  mResponder->SendBody(forwarded);
 }
 
 void RequestFlow::SendHeadOnce()
@@ -494,12 +497,12 @@
   mResponder->SendHead(head);
 }
 
-AttemptEnd RequestFlow::Judge(http::CallResult aResult) const
+AttemptEnd RequestFlow::ClassifyAttempt(http::CallResult aResult) const
 {
   if (aResult == http::CallResult::kNotConnected) {
     return AttemptEnd::kNotSent;
   }
-  if (mAttempt.head && mAttempt.meaning.isNotRun) {
+  if (mAttempt.head && mAttempt.decodedHead.isNotRun) {
     // The head states that the request has not run, which is true even if the body was lost.
     return AttemptEnd::kNotRun;
   }
@@ -520,7 +523,7 @@
   if (mIsEnded) {
     return;
   }
-  const AttemptEnd end = Judge(aResult);
+  const AttemptEnd end = ClassifyAttempt(aResult);
   const TimePoint now = BootTime();
   switch (end) {
     case AttemptEnd::kAnswered:
@@ -548,8 +551,8 @@
                                  : fleet::EndpointSign::kRefused);
       break;
   }
-  ReleasePlace(PlaceEndOf(end));
-  Follow(end, http::ToString(aResult));
+  ReleaseAssignment(AssignmentEndOf(end));
+  OnAttemptEnded(end, http::ToString(aResult));
 }
 
 void RequestFlow::ProbeEndpoint()
@@ -563,8 +566,8 @@
   mContext.client.Start({ .address = runner->entry.address,
                           .request = platform::EncodeReportCall(mAttempt.endpoint),
                           .reuse = http::Reuse::kFresh,
-                          .connectTime = kConnectLimit,
-                          .answerTime = kConnectLimit },
+                          .connectTime = kConnectTimeout,
+                          .answerTime = kConnectTimeout },
                         { .onHead = [](const http::AnswerHead&) { return true; },
                           .onBody = [](std::string_view) {},
                           .onEnd =
@@ -583,31 +586,31 @@
                             } });
 }
 
-void RequestFlow::Follow(AttemptEnd aEnd, std::string_view aResult)
+void RequestFlow::OnAttemptEnded(AttemptEnd aEnd, std::string_view aResult)
 {
   const bool hasRun = aEnd != AttemptEnd::kNotSent && aEnd != AttemptEnd::kNotRun;
-  mState.runs += hasRun ? 1 : 0;
-  mState.refusals += hasRun ? 0 : 1;
-  mState.timeLeft = TimeLeft();
-  mState.isConvicted = mContext.crashes.IsConvicted(BootTime(), mFingerprint);
+  mAttemptState.runs += hasRun ? 1 : 0;
+  mAttemptState.refusals += hasRun ? 0 : 1;
+  mAttemptState.timeLeft = TimeLeft();
+  mAttemptState.isConvicted = mContext.crashes.IsConvicted(BootTime(), mFingerprint);
   if (mRequest.method == "HEAD" && aEnd == AttemptEnd::kAnswered) {
     mAttempt.body.clear();
   }
-  NextStep step = DecideNextStep(mState, aEnd);
+  NextStep step = DecideNextStep(mAttemptState, aEnd);
   if (aEnd != AttemptEnd::kAnswered) {
-    mFailedAt.insert(mAttempt.endpoint);
+    mFailedEndpoints.insert(mAttempt.endpoint);
     mContext.log.Write("attempt_failed",
                        { { "id", mClient.requestId },
                          { "endpoint", mAttempt.endpoint },
                          { "end", fleet::ToString(aEnd) },
                          { "result", aResult },
                          { "status", mAttempt.head ? mAttempt.head->status : 0U },
-                         { "signed", mAttempt.meaning.isSigned },
+                         { "signed", mAttempt.decodedHead.isSigned },
                          { "took_ms", Milliseconds(BootTime() - mAttempt.startedAt) },
-                         { "runs", mState.runs },
-                         { "refusals", mState.refusals },
-                         { "events_passed", mEventsPassed },
-                         { "time_left_ms", Milliseconds(mState.timeLeft) } });
+                         { "runs", mAttemptState.runs },
+                         { "refusals", mAttemptState.refusals },
+                         { "events_passed", mEventsForwarded },
+                         { "time_left_ms", Milliseconds(mAttemptState.timeLeft) } });
   }
   // If the retry budget allows no other attempt, the client gets the endpoint's own 5xx answer.
   if (step == NextStep::kTryAgain && aEnd == AttemptEnd::kFailure &&
@@ -616,43 +619,43 @@
   }
   switch (step) {
     case NextStep::kTryAgain:
-      mEvents.Clear();
-      Place();
+      mEventSplitter.Clear();
+      SelectEndpoint();
       break;
     case NextStep::kPassOn:
-      PassAnswer();
+      ForwardAnswer();
       break;
     case NextStep::kRefuse:
-      Refuse(ResultCode::kEndpointUnavailable, kRetryLater, "endpoints_refused");
+      Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "endpoints_refused");
       break;
     case NextStep::kFail:
       Fail(ResultCode::kAttemptsExhausted, fleet::ToString(aEnd));
       break;
     case NextStep::kCut:
-      Cut(fleet::ToString(aEnd));
+      AbortAnswer(fleet::ToString(aEnd));
       break;
   }
 }
 
-void RequestFlow::ReleasePlace(fleet::PlaceEnd aEnd)
+void RequestFlow::ReleaseAssignment(fleet::PlaceEnd aEnd)
 {
-  if (mPlace) {
-    mContext.placement.Release({ .id = *std::exchange(mPlace, std::nullopt),
+  if (mPlacementId) {
+    mContext.placement.Release({ .id = *std::exchange(mPlacementId, std::nullopt),
                                  .end = aEnd,
-                                 .firstEvent = mAttempt.firstEvent });
+                                 .firstEvent = mAttempt.timeToFirstEvent });
   }
 }
 
 void RequestFlow::StopAttempt()
 {
   if (!mAttempt.call) {
-    ReleasePlace(fleet::PlaceEnd::kWithdrawn);
+    ReleaseAssignment(fleet::PlaceEnd::kWithdrawn);
     return;
   }
   mAttempt.call->Cancel();
   mAttempt.call.reset();
   mContext.runners.NoteEnd(BootTime(), mAttempt.endpoint, fleet::EndpointSign::kCancelled);
-  ReleasePlace(fleet::PlaceEnd::kDone);
+  ReleaseAssignment(fleet::PlaceEnd::kDone);
 }
 
 void RequestFlow::EndIfWaiting()
@@ -661,8 +664,8 @@
     return;
   }
   StopAttempt();
-  if (mState.runs == 0) {
-    Refuse(ResultCode::kShuttingDown, kRetryAtOnce, "the daemon stops");
+  if (mAttemptState.runs == 0) {
+    Refuse(ResultCode::kShuttingDown, kShutdownRetryAfter, "the daemon stops");
   } else {
     Fail(ResultCode::kAttemptsExhausted, "the daemon stops");
   }
@@ -682,10 +685,10 @@
   if (mIsEnded) {
     return;
   }
-  const bool isSent = mAttempt.call != nullptr || mState.runs > 0;
+  const bool isSent = mAttempt.call != nullptr || mAttemptState.runs > 0;
   StopAttempt();
   if (isSent) {
-    mState.runs = std::max<std::uint32_t>(mState.runs, 1);
+    mAttemptState.runs = std::max<std::uint32_t>(mAttemptState.runs, 1);
     Fail(ResultCode::kAttemptsExhausted, "deadline");
   } else {
     Fail(ResultCode::kDeadlinePassed, "deadline");
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -36,10 +36,10 @@
   {
     EndpointId endpoint;
     TimePoint startedAt{};
-    Duration firstEvent{}; ///< From the start to the first event; 0: none has arrived.
+    Duration timeToFirstEvent{}; ///< From the start to the first event; 0: none has arrived.
     std::unique_ptr<http::Call> call;
     std::optional<http::AnswerHead> head;
-    platform::EndpointAnswer meaning;
+    platform::EndpointAnswer decodedHead;
     std::string body;       ///< Of an answer that is buffered before it is forwarded.
     bool isStream = false;  ///< The body is forwarded event by event as it arrives.
     bool isInvalid = false; ///< The answer is unsigned, encoded or too large to be forwarded.
@@ -48,46 +48,46 @@
   void OnRouted();
   /* Finds the route and checks that the request may be sent. Otherwise returns false and sets the
    * reason and the result code. */
-  bool CheckRoute(std::string& aReason, ResultCode& aCode);
+  bool AdmitRequest(std::string& aReason, ResultCode& aCode);
   void ChooseService();
 
   /* Selects an endpoint for the next attempt, through the dispatcher for requests for models. */
-  void Place();
-  void PlaceByDispatcher();
-  void OnPlaced(const fleet::PlacementReply& aReply);
-  void PlaceLocally(std::string_view aWhy);
+  void SelectEndpoint();
+  void SelectByDispatcher();
+  void OnPlacementReply(const fleet::PlacementReply& aReply);
+  void SelectLocally(std::string_view aSelectionReason);
   /* Selects an endpoint again after a pause, or ends the request if it has waited too long. */
   void WaitForEndpoint();
 
-  void Send(const EndpointId& aEndpoint, std::string_view aWhy);
+  void SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason);
   bool OnHead(const http::AnswerHead& aHead);
   void OnBody(std::string_view aBytes);
   void OnEnd(http::CallResult aResult);
   /* Classifies the attempt that has just ended. */
-  fleet::AttemptEnd Judge(http::CallResult aResult) const;
+  fleet::AttemptEnd ClassifyAttempt(http::CallResult aResult) const;
   /* Decides what follows an attempt: another one, the answer, or a failure. */
-  void Follow(fleet::AttemptEnd aEnd, std::string_view aResult);
-  void ReleasePlace(fleet::PlaceEnd aEnd);
+  void OnAttemptEnded(fleet::AttemptEnd aEnd, std::string_view aResult);
+  void ReleaseAssignment(fleet::PlaceEnd aEnd);
   /* Connects to the endpoint after its connection broke. If that fails, its process has probably
    * ended, and the request is reported as suspected of crashing runners. */
   void ProbeEndpoint();
 
-  void PassEvents();
+  void ForwardEvents();
   void SendHeadOnce();
-  void PassAnswer();
+  void ForwardAnswer();
   bool MayAnswer(std::string_view aReason);
   void Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason);
   void Fail(ResultCode aCode, std::string_view aReason);
-  void Cut(std::string_view aReason);
+  void AbortAnswer(std::string_view aReason);
   void End(std::string_view aOutcome, ResultCode aCode, unsigned aStatus);
-  void Answer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter);
+  void SendOwnAnswer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter);
 
   void OnClientGone();
   void OnDeadline();
   void StopAttempt();
   Duration TimeLeft() const;
-  Duration AnswerLimit() const;
-  Duration Patience() const;
+  Duration AnswerTimeout() const;
+  Duration ClientTimeout() const;
   bool UsesModels() const { return mClient.work.has_value(); }
 
   GatewayContext& mContext;
@@ -102,13 +102,13 @@
   TimePoint mDeadline{};
   boost::asio::steady_timer mDeadlineTimer;
   boost::asio::steady_timer mWaitTimer;
-  fleet::AttemptState mState;
+  fleet::AttemptState mAttemptState;
   Attempt mAttempt;
-  std::set<EndpointId> mFailedAt;
-  std::optional<fleet::AskId> mPlace; ///< Id of the pending placement request or held assignment.
-  EventSplitter mEvents;
+  std::set<EndpointId> mFailedEndpoints;
+  std::optional<fleet::AskId> mPlacementId; ///< Of the pending request or the held assignment.
+  EventSplitter mEventSplitter;
   std::string mLastEventId; ///< Last event id that was forwarded to the client.
-  std::uint32_t mEventsPassed = 0;
+  std::uint32_t mEventsForwarded = 0;
   TimePoint mFirstByteAt{};
   bool mIsHeadSent = false;
   bool mIsEnded = false;
