--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -1,4 +1,4 @@
-/* This daemon as a member of the fleet: it finds the dispatcher, or is it. */
+/* Fleet membership of this daemon: order lease, messages between daemons, dispatcher. */
 #include "fleet/fleet_member.h"
 
 #include "core/boot_clock.h"
@@ -13,19 +13,21 @@
 
 namespace {
 
-/* Time between two looks at what is due. */
+/* Interval of the periodic work in Tick(). */
 constexpr Duration kTickInterval = 50ms;
-/* Time between two signs of life, of the dispatcher and of the others. */
-constexpr Duration kBeaconInterval = 400ms;
+/* Intervals of the heartbeats: the dispatcher's to its members, and the hellos of the others to the
+ * dispatcher. */
+constexpr Duration kHeartbeatInterval = 400ms;
 constexpr Duration kHelloInterval = 800ms;
-/* Silence after which the dispatcher, or a daemon, is taken to be away. */
-constexpr Duration kDispatcherSilence = 1'300ms;
-constexpr Duration kMemberSilence = 2'500ms;
-/* Longest time for a runner to answer an order or a question about its state. */
-constexpr Duration kOrderLimit = 400ms;
-constexpr Duration kReportLimit = 400ms;
-constexpr Duration kRunnerConnectLimit = 250ms;
-/* The table and row of the lease. */
+/* Time without a heartbeat after which a daemon treats the dispatcher as unreachable, and time
+ * without any message after which the dispatcher removes a member. */
+constexpr Duration kDispatcherTimeout = 1'300ms;
+constexpr Duration kMemberTimeout = 2'500ms;
+/* Time limits for a runner's answer to an order, for its report, and for connecting to it. */
+constexpr Duration kOrderTimeout = 400ms;
+constexpr Duration kReportTimeout = 400ms;
+constexpr Duration kRunnerConnectTimeout = 250ms;
+/* Table and key of the lease row in the store. */
 constexpr const char* kFleetTable = "rhubarbtrail";
 constexpr const char* kLeaseKey = "lease";
 
@@ -44,12 +46,12 @@
           { .onMessage = [this](const std::string& aBytes) { OnMessage(aBytes); },
             .onBroken =
               [this](const std::string& aAddress) {
-                if (mIsLinked && aAddress == mLinkedTo.address) {
+                if (mHasRemoteDispatcher && aAddress == mDispatcherLease.address) {
                   LoseDispatcher("connection_ended");
                 }
               } })
   , mTimer(mServices.loop)
-  , mDispatchTimer(mServices.loop)
+  , mDispatcherTimer(mServices.loop)
 {
 }
 
@@ -76,7 +78,7 @@
 {
   mIsClosed = true;
   mTimer.cancel();
-  mDispatchTimer.cancel();
+  mDispatcherTimer.cancel();
   mLink.Close();
 }
 
@@ -84,20 +86,20 @@
 {
   const TimePoint now = BootTime();
   if (const auto action = mLease.Tick(now)) {
-    Carry(*action);
+    Execute(*action);
   }
-  NoteHolder();
+  ApplyLeaseState();
   if (isDispatcher()) {
-    if (now >= mNextBeacon) {
-      mNextBeacon = now + kBeaconInterval;
-      SendBeacons();
+    if (now >= mNextHeartbeatAt) {
+      mNextHeartbeatAt = now + kHeartbeatInterval;
+      SendHeartbeats();
     }
-    CheckMembers(now);
-  } else if (now >= mNextHello) {
-    mNextHello = now + kHelloInterval;
+    RemoveTimedOutMembers(now);
+  } else if (now >= mNextHelloAt) {
+    mNextHelloAt = now + kHelloInterval;
     SendHello();
   }
-  if (mIsLinked && now - mBeaconAt > kDispatcherSilence) {
+  if (mHasRemoteDispatcher && now - mLastHeartbeatAt > kDispatcherTimeout) {
     LoseDispatcher("silent");
   }
   mLink.CheckSilence(now);
@@ -109,7 +111,7 @@
   });
 }
 
-void FleetMember::Carry(const fleet::LeaseAction& aAction)
+void FleetMember::Execute(const fleet::LeaseAction& aAction)
 {
   std::visit(Overloaded{ [this](const fleet::ReadLease&) { ReadLease(); },
                          [this](const fleet::WriteLease& aWrite) { WriteLease(aWrite); } },
@@ -121,7 +123,7 @@
   mServices.store.Read(kFleetTable, {}, [this](const StoreResult& aResult) {
     if (!mIsClosed) {
       OnLeaseRead(aResult);
-      NoteHolder();
+      ApplyLeaseState();
     }
   });
 }
@@ -135,7 +137,7 @@
                         [this](const StoreResult& aResult) {
                           if (!mIsClosed) {
                             OnLeaseWritten(aResult);
-                            NoteHolder();
+                            ApplyLeaseState();
                           }
                         });
 }
@@ -195,34 +197,37 @@
   }
 }
 
-/* Logs who gives the orders, and follows changes of that. */
-void FleetMember::NoteHolder()
+/* Applies the current state of the lease. Logs a change of the holder. Clears the dispatcher's
+ * state when another holder follows this daemon. When this daemon takes the lease while it still
+ * receives another dispatcher's heartbeats, sends its open placement requests and assignments to
+ * its own dispatcher. Updates the dispatcher's order permission. */
+void FleetMember::ApplyLeaseState()
 {
   const TimePoint now = BootTime();
   const bool isHolder = isDispatcher();
   const std::string holder = mLease.row().holder.str() + "/" + mLease.row().incarnation.str();
-  if (holder != mKnownHolder) {
-    const bool wasHolder = mKnownHolder == mOptions.self.str() + "/" + mOptions.incarnation.str();
+  if (holder != mLoggedHolder) {
+    const bool wasHolder = mLoggedHolder == mOptions.self.str() + "/" + mOptions.incarnation.str();
     mServices.log.Write("holder_changed",
                         { { "holder", mLease.row().holder },
-                          { "former", mKnownHolder },
+                          { "former", mLoggedHolder },
                           { "row_version", mLease.version().value },
                           { "fence", mLease.fence().value } });
-    mKnownHolder = holder;
+    mLoggedHolder = holder;
     if (wasHolder && !isHolder) {
       mMembers.clear();
       mServices.dispatcher.Clear();
-      mServices.placement.OnLost();
+      mServices.placement.OnDispatcherLost();
     }
-    mNextHello = now;
+    mNextHelloAt = now;
   }
-  if (isHolder && mIsLinked) {
-    mIsLinked = false;
+  if (isHolder && mHasRemoteDispatcher) {
+    mHasRemoteDispatcher = false;
     mServices.placement.OnNewDispatcher();
   }
   const bool mayOrder = mLease.MayOrder(now);
-  if (mayOrder != mCouldOrder) {
-    mCouldOrder = mayOrder;
+  if (mayOrder != mWasOrderingAllowed) {
+    mWasOrderingAllowed = mayOrder;
     mServices.log.Write(mayOrder ? "orders_allowed" : "orders_stopped",
                         { { "row_version", mLease.version().value },
                           { "fence", mLease.fence().value },
@@ -240,7 +245,7 @@
       { .from = mOptions.self, .incarnation = mOptions.incarnation, .body = std::move(aBody) }));
 }
 
-BeaconMessage FleetMember::Beacon() const
+HolderHeartbeatMessage FleetMember::MakeHeartbeat() const
 {
   return { .lease = mLease.row(),
            .version = mLease.version(),
@@ -248,12 +253,12 @@
            .daemons = static_cast<std::uint32_t>(mMembers.size()) + 1 };
 }
 
-void FleetMember::SendBeacons()
+void FleetMember::SendHeartbeats()
 {
   mServices.onDaemonCount(static_cast<std::uint32_t>(mMembers.size()) + 1);
-  const BeaconMessage beacon = Beacon();
+  const HolderHeartbeatMessage heartbeat = MakeHeartbeat();
   for (const auto& [id, member] : mMembers) {
-    Send(member.address, beacon);
+    Send(member.address, heartbeat);
   }
 }
 
@@ -265,32 +270,33 @@
   }
 }
 
-void FleetMember::CheckMembers(TimePoint aNow)
+void FleetMember::RemoveTimedOutMembers(TimePoint aNow)
 {
   std::erase_if(mMembers, [&](const auto& aItem) {
     const auto& [id, member] = aItem;
-    if (aNow - member.heardAt <= kMemberSilence) {
+    if (aNow - member.lastMessageAt <= kMemberTimeout) {
       return false;
     }
-    mServices.log.Write("member_lost",
-                        { { "member", id }, { "silent_ms", Milliseconds(aNow - member.heardAt) } });
+    mServices.log.Write(
+      "member_lost",
+      { { "member", id }, { "silent_ms", Milliseconds(aNow - member.lastMessageAt) } });
     mServices.dispatcher.OnDaemonLost(id);
     mLink.Disconnect(member.address);
     return true;
   });
 }
 
-void FleetMember::LoseDispatcher(std::string_view aWhy)
+void FleetMember::LoseDispatcher(std::string_view aReason)
 {
-  if (!std::exchange(mIsLinked, false)) {
+  if (!std::exchange(mHasRemoteDispatcher, false)) {
     return;
   }
   mServices.log.Write("dispatcher_lost",
-                      { { "dispatcher", mLinkedTo.holder },
-                        { "why", aWhy },
-                        { "heard_ms_ago", Milliseconds(BootTime() - mBeaconAt) } });
-  mLink.Disconnect(mLinkedTo.address);
-  mServices.placement.OnLost();
+                      { { "dispatcher", mDispatcherLease.holder },
+                        { "why", aReason },
+                        { "heard_ms_ago", Milliseconds(BootTime() - mLastHeartbeatAt) } });
+  mLink.Disconnect(mDispatcherLease.address);
+  mServices.placement.OnDispatcherLost();
 }
 
 void FleetMember::OnMessage(const std::string& aBytes)
@@ -305,30 +311,34 @@
   }
   if (const auto member = mMembers.find(message->from);
       member != mMembers.end() && member->second.incarnation == message->incarnation) {
-    member->second.heardAt = BootTime();
+    member->second.lastMessageAt = BootTime();
   }
   std::visit(
-    Overloaded{ [&](const HelloMessage& aHello) { OnHello(*message, aHello); },
-                [&](const BeaconMessage& aBeacon) { OnBeacon(*message, aBeacon); },
-                [&](const SuspectMessage& aSuspect) { OnSuspect(*message, aSuspect); },
-                [&](const fleet::PlacementReply& aReply) { mServices.placement.OnReply(aReply); },
-                [&](const auto& aQuestion) {
-                  if (isDispatcher()) {
-                    Dispatch(message->from, fleet::DispatchMessage{ aQuestion });
-                  } else {
-                    Disown(message->from, fleet::DispatchMessage{ aQuestion });
-                  }
-                } },
+    Overloaded{
+      [&](const HelloMessage& aHello) { OnHello(*message, aHello); },
+      [&](const HolderHeartbeatMessage& aHeartbeat) { OnHolderHeartbeat(*message, aHeartbeat); },
+      [&](const SuspectMessage& aSuspect) { OnSuspect(*message, aSuspect); },
+      [&](const fleet::PlacementReply& aReply) { mServices.placement.OnReply(aReply); },
+      [&](const auto& aDispatchMessage) {
+        if (isDispatcher()) {
+          HandleDispatchMessage(message->from, fleet::DispatchMessage{ aDispatchMessage });
+        } else {
+          RejectPlacementRequest(message->from, fleet::DispatchMessage{ aDispatchMessage });
+        }
+      } },
     message->body);
 }
 
-/* Tells a daemon whose question came too late that this one is not the dispatcher any more. */
-void FleetMember::Disown(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage)
+/* Answers a placement request that arrives although this daemon is not the dispatcher, so that the
+ * sender does not wait for a reply. Other messages are ignored. */
+void FleetMember::RejectPlacementRequest(const DaemonId& aFrom,
+                                         const fleet::DispatchMessage& aMessage)
 {
-  const auto* ask = std::get_if<fleet::PlacementAsk>(&aMessage);
+  const auto* request = std::get_if<fleet::PlacementAsk>(&aMessage);
   const auto address = mAddresses.find(aFrom);
-  if (ask != nullptr && address != mAddresses.end()) {
-    Send(address->second, fleet::PlacementReply{ .id = ask->id, .answer = fleet::PlaceUnknown{} });
+  if (request != nullptr && address != mAddresses.end()) {
+    Send(address->second,
+         fleet::PlacementReply{ .id = request->id, .answer = fleet::PlaceUnknown{} });
   }
 }
 
@@ -351,35 +361,37 @@
   mMembers[aMessage.from] = { .incarnation = aMessage.incarnation,
                               .address = aHello.address,
                               .zone = aHello.zone,
-                              .heardAt = BootTime() };
+                              .lastMessageAt = BootTime() };
   if (isNew) {
-    Send(aHello.address, Beacon());
+    Send(aHello.address, MakeHeartbeat());
   }
 }
 
-void FleetMember::OnBeacon(const FleetMessage& aMessage, const BeaconMessage& aBeacon)
+void FleetMember::OnHolderHeartbeat(const FleetMessage& aMessage,
+                                    const HolderHeartbeatMessage& aHeartbeat)
 {
   const TimePoint now = BootTime();
-  if (aMessage.from != aBeacon.lease.holder || aBeacon.version < mLease.version()) {
-    return; // A former holder that does not know yet.
+  if (aMessage.from != aHeartbeat.lease.holder || aHeartbeat.version < mLease.version()) {
+    return; // From a former holder that has not yet noticed that it lost the lease.
   }
-  mLease.OnHolderHeard(now, aBeacon.lease, aBeacon.version, aBeacon.state);
-  NoteHolder();
+  mLease.OnHolderHeard(now, aHeartbeat.lease, aHeartbeat.version, aHeartbeat.state);
+  ApplyLeaseState();
   if (isDispatcher()) {
     return;
   }
-  const bool isNew = !mIsLinked || mLinkedTo.incarnation != aBeacon.lease.incarnation;
-  if (isNew && mIsLinked && mLinkedTo.address != aBeacon.lease.address) {
-    mLink.Disconnect(mLinkedTo.address);
+  const bool isNew =
+    !mHasRemoteDispatcher || mDispatcherLease.incarnation != aHeartbeat.lease.incarnation;
+  if (isNew && mHasRemoteDispatcher && mDispatcherLease.address != aHeartbeat.lease.address) {
+    mLink.Disconnect(mDispatcherLease.address);
   }
-  mLinkedTo = aBeacon.lease;
-  mIsLinked = true;
-  mBeaconAt = now;
-  mServices.onDaemonCount(aBeacon.daemons);
+  mDispatcherLease = aHeartbeat.lease;
+  mHasRemoteDispatcher = true;
+  mLastHeartbeatAt = now;
+  mServices.onDaemonCount(aHeartbeat.daemons);
   if (isNew) {
     mServices.log.Write(
       "dispatcher_found",
-      { { "dispatcher", aBeacon.lease.holder }, { "row_version", aBeacon.version.value } });
+      { { "dispatcher", aHeartbeat.lease.holder }, { "row_version", aHeartbeat.version.value } });
     SendHello();
     mServices.placement.OnNewDispatcher();
   }
@@ -404,38 +416,39 @@
     for (const auto& [id, member] : mMembers) {
       Send(member.address, aMessage);
     }
-  } else if (mIsLinked) {
-    Send(mLinkedTo.address, aMessage);
+  } else if (mHasRemoteDispatcher) {
+    Send(mDispatcherLease.address, aMessage);
   }
 }
 
 bool FleetMember::ToDispatcher(const fleet::DispatchMessage& aMessage)
 {
   if (isDispatcher()) {
-    Dispatch(mOptions.self, aMessage);
+    HandleDispatchMessage(mOptions.self, aMessage);
     return true;
   }
-  if (!mIsLinked) {
+  if (!mHasRemoteDispatcher) {
     return false;
   }
-  std::visit([this](const auto& aBody) { Send(mLinkedTo.address, aBody); }, aMessage);
+  std::visit([this](const auto& aBody) { Send(mDispatcherLease.address, aBody); }, aMessage);
   return true;
 }
 
-void FleetMember::Dispatch(const DaemonId& aFrom, const fleet::DispatchMessage& aMessage)
+void FleetMember::HandleDispatchMessage(const DaemonId& aFrom,
+                                        const fleet::DispatchMessage& aMessage)
 {
   const TimePoint now = BootTime();
-  std::visit(Overloaded{ [&](const fleet::PlacementAsk& aAsk) {
-                          mServices.dispatcher.OnAsk(now, aAsk, ZoneOf(aFrom));
+  std::visit(Overloaded{ [&](const fleet::PlacementAsk& aRequest) {
+                          mServices.dispatcher.OnAsk(now, aRequest, ZoneOf(aFrom));
                         },
                          [&](const fleet::PlaceReleased& aReleased) {
                            mServices.dispatcher.OnReleased(now, aReleased);
                          },
-                         [&](const fleet::PlaceInUse& aPlace) {
-                           mServices.dispatcher.OnPlaceInUse(now, aPlace);
+                         [&](const fleet::PlaceInUse& aAssignment) {
+                           mServices.dispatcher.OnPlaceInUse(now, aAssignment);
                          } },
              aMessage);
-  TickDispatcherSoon();
+  ScheduleDispatcherTick();
 }
 
 ZoneId FleetMember::ZoneOf(const DaemonId& aDaemon) const
@@ -444,7 +457,7 @@
   return found == mMembers.end() ? mOptions.zone : found->second.zone;
 }
 
-void FleetMember::TickDispatcherSoon()
+void FleetMember::ScheduleDispatcherTick()
 {
   if (!isDispatcher() || std::exchange(mIsTickPosted, true)) {
     return;
@@ -462,25 +475,25 @@
   if (!isDispatcher()) {
     return;
   }
-  NoteHolder();
+  ApplyLeaseState();
   const TimePoint now = BootTime();
   for (const auto& action : mServices.dispatcher.Tick(now)) {
-    Carry(action);
+    Execute(action);
   }
   const Duration pause = std::max(mServices.dispatcher.nextWake() - BootTime(),
                                   Duration{ std::chrono::milliseconds{ 1 } });
-  mDispatchTimer.expires_after(pause);
-  mDispatchTimer.async_wait([this](boost::system::error_code aError) {
+  mDispatcherTimer.expires_after(pause);
+  mDispatcherTimer.async_wait([this](boost::system::error_code aError) {
     if (!aError && !mIsClosed) {
       TickDispatcher();
     }
   });
 }
 
-void FleetMember::Carry(const fleet::DispatchAction& aAction)
+void FleetMember::Execute(const fleet::DispatchAction& aAction)
 {
-  std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { Answer(aReply); },
-                         [this](const fleet::RunnerOrder& aOrder) { GiveOrder(aOrder); },
+  std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { SendReply(aReply); },
+                         [this](const fleet::RunnerOrder& aOrder) { SendOrder(aOrder); },
                          [this](const fleet::ReportWanted& aWanted) { FetchReport(aWanted); },
                          [this](const fleet::DispatchNote& aNote) {
                            mServices.log.Write(aNote.event,
@@ -496,7 +509,7 @@
              aAction);
 }
 
-void FleetMember::Answer(const fleet::PlacementReply& aReply)
+void FleetMember::SendReply(const fleet::PlacementReply& aReply)
 {
   if (aReply.id.daemon == mOptions.self) {
     mServices.placement.OnReply(aReply);
@@ -507,9 +520,10 @@
   }
 }
 
-void FleetMember::GiveOrder(const fleet::RunnerOrder& aOrder)
+void FleetMember::SendOrder(const fleet::RunnerOrder& aOrder)
 {
-  // Looked at once more: the clock may have jumped over a suspension since the decision.
+  // Checked again: the host may have been suspended since the dispatcher decided, and the
+  // permission to give orders may have expired meanwhile. BootTime() counts suspensions.
   if (!mLease.MayOrder(BootTime())) {
     mServices.dispatcher.OnOrderResult(BootTime(), aOrder.runner, fleet::OrderOutcome::kNotSent);
     return;
@@ -525,9 +539,9 @@
     { .address = aOrder.address,
       .request = platform::EncodeOrder(aOrder),
       .reuse = http::Reuse::kAllowed,
-      .connectTime = kRunnerConnectLimit,
-      .answerTime = kOrderLimit,
-      .silenceTime = kOrderLimit },
+      .connectTime = kRunnerConnectTimeout,
+      .answerTime = kOrderTimeout,
+      .silenceTime = kOrderTimeout },
     { .onHead =
         [status](const http::AnswerHead& aHead) {
           *status = aHead.status;
@@ -551,7 +565,7 @@
                                 { "expected_count", order.expectedOrderCount },
                                 { "fence", order.fence.value } });
           mServices.dispatcher.OnOrderResult(BootTime(), order.runner, outcome);
-          TickDispatcherSoon();
+          ScheduleDispatcherTick();
         } });
 }
 
@@ -566,9 +580,9 @@
   mServices.client.Start(
     { .address = aWanted.address,
       .request = platform::EncodeReportCall(aWanted.runner),
-      .connectTime = kRunnerConnectLimit,
-      .answerTime = kReportLimit,
-      .silenceTime = kReportLimit },
+      .connectTime = kRunnerConnectTimeout,
+      .answerTime = kReportTimeout,
+      .silenceTime = kReportTimeout },
     { .onHead =
         [progress](const http::AnswerHead& aHead) {
           progress->status = aHead.status;
@@ -578,9 +592,10 @@
       .onEnd =
         [this, progress, runner = aWanted.runner](http::CallResult aResult) {
           constexpr unsigned kOk = 200;
-          const bool isWhole = aResult == http::CallResult::kComplete && progress->status == kOk;
-          const auto report = isWhole ? platform::DecodeRunnerReport(progress->body)
-                                      : tl::make_unexpected(std::string{ http::ToString(aResult) });
+          const bool isSuccess = aResult == http::CallResult::kComplete && progress->status == kOk;
+          const auto report = isSuccess
+                                ? platform::DecodeRunnerReport(progress->body)
+                                : tl::make_unexpected(std::string{ http::ToString(aResult) });
           if (!report) {
             mServices.log.Write("report_failed",
                                 { { "endpoint", runner },
@@ -588,7 +603,7 @@
                                   { "reason", report.error() } });
           }
           mServices.dispatcher.OnReport(BootTime(), runner, report ? &*report : nullptr);
-          TickDispatcherSoon();
+          ScheduleDispatcherTick();
         } });
 }
 
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -1,4 +1,4 @@
-/* One request on its way: the attempts at endpoints and the answer to the client. */
+/* Handles one client request: the attempts at endpoints and the answer to the client. */
 #ifndef RHUBARBTRAIL_GATEWAY_REQUEST_FLOW_H
 #define RHUBARBTRAIL_GATEWAY_REQUEST_FLOW_H
 
@@ -15,7 +15,7 @@
 
 namespace rhubarbtrail {
 
-/* Owns itself while the request is open. */
+/* Its timers, its call and the responder's handler keep it alive while the request is open. */
 class RequestFlow : public std::enable_shared_from_this<RequestFlow>
 {
 public:
@@ -27,69 +27,74 @@
   RequestFlow& operator=(const RequestFlow&) = delete;
 
   void Start();
-  /* Ends the request unless an endpoint is at work on it. */
+  /* Ends the request unless it is in flight at an endpoint. */
   void EndIfWaiting();
 
 private:
-  /* An attempt under way, or the last one. */
+  /* The current attempt at an endpoint, or the last one. */
   struct Attempt
   {
     EndpointId endpoint;
     TimePoint startedAt{};
-    Duration firstEvent{}; ///< From the start to the first event; 0: there was none yet.
+    Duration timeToFirstEvent{}; ///< From the start to the first event; 0: none has arrived.
     std::unique_ptr<http::Call> call;
     std::optional<http::AnswerHead> head;
-    platform::EndpointAnswer meaning;
-    std::string body;       ///< Of an answer that is passed on as a whole.
-    bool isStream = false;  ///< The body is passed on as it comes.
-    bool isInvalid = false; ///< What came cannot be passed on.
+    platform::EndpointAnswer decodedHead;
+    std::string body;       ///< Of an answer that is buffered before it is forwarded.
+    bool isStream = false;  ///< The body is forwarded event by event as it arrives.
+    bool isInvalid = false; ///< The answer is unsigned, encoded or too large to be forwarded.
   };
 
   void OnRouted();
-  bool CheckRoute(std::string& aReason, ResultCode& aCode);
+  /* Finds the route and checks that the request may be sent. Otherwise returns false and sets the
+   * reason and the result code. */
+  bool AdmitRequest(std::string& aReason, ResultCode& aCode);
   void ChooseService();
 
-  /* Finds an endpoint for the next attempt. */
-  void Place();
-  void PlaceByDispatcher();
-  void OnPlaced(const fleet::PlacementReply& aReply);
-  void PlaceLocally(std::string_view aWhy);
-  /* Waits for something to change while no endpoint is known. */
+  /* Selects an endpoint for the next attempt, through the dispatcher for requests for models. */
+  void SelectEndpoint();
+  void SelectByDispatcher();
+  void OnPlacementReply(const fleet::PlacementReply& aReply);
+  void SelectLocally(std::string_view aSelectionReason);
+  /* Selects an endpoint again after a pause, or ends the request if it has waited too long. */
   void WaitForEndpoint();
 
-  void Send(const EndpointId& aEndpoint, std::string_view aWhy);
+  void SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason);
   bool OnHead(const http::AnswerHead& aHead);
   void OnBody(std::string_view aBytes);
   void OnEnd(http::CallResult aResult);
-  fleet::AttemptEnd Judge(http::CallResult aResult) const;
-  void Follow(fleet::AttemptEnd aEnd, std::string_view aResult);
-  void ReleasePlace(fleet::PlaceEnd aEnd);
-  /* Finds out whether the endpoint's process has ended, and suspects the request if so. */
+  /* Classifies the attempt that has just ended. */
+  fleet::AttemptEnd ClassifyAttempt(http::CallResult aResult) const;
+  /* Decides what follows an attempt: another one, the answer, or a failure. */
+  void OnAttemptEnded(fleet::AttemptEnd aEnd, std::string_view aResult);
+  void ReleaseAssignment(fleet::PlaceEnd aEnd);
+  /* Connects to the endpoint after its connection broke. If that fails, its process has probably
+   * ended, and the request is reported as suspected of crashing runners. */
   void ProbeEndpoint();
 
-  void PassEvents();
+  void ForwardEvents();
   void SendHeadOnce();
-  void PassAnswer();
+  void ForwardAnswer();
   bool MayAnswer(std::string_view aReason);
   void Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason);
   void Fail(ResultCode aCode, std::string_view aReason);
-  void Cut(std::string_view aReason);
+  void AbortAnswer(std::string_view aReason);
   void End(std::string_view aOutcome, ResultCode aCode, unsigned aStatus);
-  void Answer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter);
+  void SendOwnAnswer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter);
 
   void OnClientGone();
   void OnDeadline();
   void StopAttempt();
   Duration TimeLeft() const;
-  Duration AnswerLimit() const;
-  Duration Patience() const;
+  Duration AnswerTimeout() const;
+  Duration ClientTimeout() const;
   bool UsesModels() const { return mClient.work.has_value(); }
 
   GatewayContext& mContext;
   http::Request mRequest;
   std::shared_ptr<http::Responder> mResponder;
   platform::ClientRequest mClient;
-  std::shared_ptr<const fleet::FleetConfiguration> mConfiguration; ///< In force at arrival.
+  std::shared_ptr<const fleet::FleetConfiguration> mConfiguration; ///< The one in force at arrival.
   const fleet::Route* mRoute = nullptr;
   ServiceId mService;
   FingerprintId mFingerprint;
@@ -97,13 +102,13 @@
   TimePoint mDeadline{};
   boost::asio::steady_timer mDeadlineTimer;
   boost::asio::steady_timer mWaitTimer;
-  fleet::AttemptState mState;
+  fleet::AttemptState mAttemptState;
   Attempt mAttempt;
-  std::set<EndpointId> mFailedAt;
-  std::optional<fleet::AskId> mPlace; ///< The question asked or the place held.
-  EventSplitter mEvents;
-  std::string mLastEventId; ///< Of the last event that the client has.
-  std::uint32_t mEventsPassed = 0;
+  std::set<EndpointId> mFailedEndpoints;
+  std::optional<fleet::AskId> mPlacementId; ///< Of the pending request or the held assignment.
+  EventSplitter mEventSplitter;
+  std::string mLastEventId; ///< Last event id that was forwarded to the client.
+  std::uint32_t mEventsForwarded = 0;
   TimePoint mFirstByteAt{};
   bool mIsHeadSent = false;
   bool mIsEnded = false;
