--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -83,8 +83,9 @@
     , mLog({ .daemon = mSettings.daemonId })
     , mClient(mLoop, {})
     , mStore(mClient, mSettings.edge.storeAddress)
-    , mPlacement(
-        [this](const fleet::DispatchMessage& aMessage) { return mMember.ToDispatcher(aMessage); })
+    , mPlacement([this](const fleet::DispatchMessage& aMessage) {
+      return mMember.SendToDispatcher(aMessage);
+    })
     , mGateway{ .loop = mLoop,
                 .client = mClient,
                 .log = mLog,
@@ -112,9 +113,9 @@
                 .onSuspect =
                   [this](const SuspectMessage& aSuspect) {
                     if (aSuspect.isCleared) {
-                      mGateway.crashes.NoteAnswer(aSuspect.request);
+                      mGateway.crashes.RecordAnswer(aSuspect.request);
                     } else {
-                      mGateway.crashes.NoteBreak(BootTime(), aSuspect.request);
+                      mGateway.crashes.RecordCrash(BootTime(), aSuspect.request);
                     }
                   },
                 .onDaemonCount = [this](std::uint32_t aCount) { OnDaemonCount(aCount); } },
@@ -123,7 +124,7 @@
                 .zone = ZoneId{ mSettings.zone },
                 .address = mSettings.edge.linkAddress,
                 .leaseSpacing = mSettings.edge.leaseSpacing,
-                .headStart = HeadStart(mSettings.edge.cpuShare) })
+                .additionalTakeoverDelay = HeadStart(mSettings.edge.cpuShare) })
     , mConfigurationFeed(mLoop,
                          mStore,
                          mLog,
@@ -133,7 +134,7 @@
         mLoop,
         mStore,
         mLog,
-        { .table = std::string{ platform::table::kRunners }, .interval = RunnerInterval() },
+        { .table = std::string{ platform::table::kRunners }, .minInterval = RunnerInterval() },
         RunnerHandlers())
     , mFront(mLoop,
              { .address = mSettings.edge.frontAddress, .connectionLimit = ConnectionLimit() },
@@ -237,7 +238,7 @@
     mLog.Write("status",
                { { "open_requests", mGateway.openRequests.size() },
                  { "connections", mFront.counts().connections },
-                 { "questions_open", mPlacement.openQuestions() },
+                 { "questions_open", mPlacement.pendingRequestCount() },
                  { "dispatcher", mMember.lease().holder },
                  { "dispatcher_reachable", mMember.HasDispatcher() },
                  { "store_reads", store.reads },
@@ -268,7 +269,7 @@
         return;
       }
       const TimePoint now = BootTime();
-      mRunnerFeed.SetInterval(mMember.isDispatcher() ? kHolderRunnerInterval : RunnerInterval());
+      mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kHolderRunnerInterval : RunnerInterval());
       for (const auto& [id, runner] : mRunners.runners()) {
         if (runner.missingSince && mDispatcher.runners().contains(id) &&
             mRunners.Check(now, runner) == fleet::Exclusion::kGone) {
@@ -290,8 +291,8 @@
                  mLog.Write("configuration_row_removed", { { "key", aKey } });
                },
              .onSynced = [] {},
-             .onLost = [] {},
-             .onRegained = [] {} };
+             .onStoreLost = [] {},
+             .onStoreRecovered = [] {} };
   }
 
   TableFeedHandlers RunnerHandlers()
@@ -299,8 +300,8 @@
     return { .onRow = [this](const platform::StoreRow& aRow) { OnRunnerRow(aRow); },
              .onRemoved = [this](const std::string& aKey) { OnRunnerRemoved(EndpointId{ aKey }); },
              .onSynced = [] {},
-             .onLost = [this] { mRunners.OnStoreLost(); },
-             .onRegained = [this] { mRunners.OnStoreRegained(BootTime()); } };
+             .onStoreLost = [this] { mRunners.OnStoreUnreachable(); },
+             .onStoreRecovered = [this] { mRunners.OnStoreReachable(BootTime()); } };
   }
 
   void OnConfigurationRow(const platform::StoreRow& aRow)
@@ -332,7 +333,7 @@
                        .idleTime = decoded->limits.idleTime });
     mGateway.configuration = std::make_shared<const fleet::FleetConfiguration>(std::move(*decoded));
     mDispatcher.SetConfiguration(mGateway.configuration);
-    mMember.OnChange();
+    mMember.OnDispatcherInputChanged();
   }
 
   void OnRunnerRow(const platform::StoreRow& aRow)
@@ -345,8 +346,8 @@
                    { "reason", entry.error() } });
       return;
     }
-    mDispatcher.OnRunner(BootTime(), *entry);
-    mMember.OnChange();
+    mDispatcher.OnRunnerEntry(BootTime(), *entry);
+    mMember.OnDispatcherInputChanged();
     const auto change = mRunners.Apply(BootTime(), *entry);
     if (change == fleet::RunnerRegistry::Change::kUpdated ||
         change == fleet::RunnerRegistry::Change::kNone) {
@@ -372,9 +373,10 @@
     const fleet::KnownRunner* runner = mRunners.Find(aRunner);
     if (runner == nullptr || mRunners.Check(BootTime(), *runner) == fleet::Exclusion::kGone) {
       mDispatcher.OnRunnerGone(aRunner);
-      mMember.OnChange();
+      mMember.OnDispatcherInputChanged();
     }
-    mLog.Write("runner_gone", { { "endpoint", aRunner }, { "store_lost", mRunnerFeed.isLost() } });
+    mLog.Write("runner_gone",
+               { { "endpoint", aRunner }, { "store_lost", mRunnerFeed.isStoreLost() } });
   }
 
   bool IsReady() const { return !mIsStopping && mGateway.configuration && mRunnerFeed.isSynced(); }
@@ -473,9 +475,11 @@
       { "store_failures", "Calls to the store that failed so far.", store.failures },
       { "dispatcher", "1 while this daemon gives the orders.", mMember.isDispatcher() ? 1U : 0U },
       { "dispatcher_reachable", "1 while one can be asked.", mMember.HasDispatcher() ? 1U : 0U },
-      { "questions_open", "Requests that wait for a place.", mPlacement.openQuestions() },
-      { "places_waiting", "Requests of all daemons that wait here.", mDispatcher.waiting() },
-      { "places_in_use", "Places given out here.", mDispatcher.placesInUse() },
+      { "questions_open", "Requests that wait for a place.", mPlacement.pendingRequestCount() },
+      { "places_waiting",
+        "Requests of all daemons that wait here.",
+        mDispatcher.waitingRequests() },
+      { "places_in_use", "Places given out here.", mDispatcher.activeAssignments() },
       { "runners_known", "Runners that are known.", mRunners.runners().size() },
       { "configuration_version",
         "Version in force.",
--- a/src/decision/fleet/attempt_policy.cpp
+++ b/src/decision/fleet/attempt_policy.cpp
@@ -14,7 +14,7 @@
 bool MayRunAgain(const AttemptState& aState)
 {
   const bool isRepeatable = aState.kind == RouteKind::kIdempotent || aState.isResumable;
-  return isRepeatable && aState.runs < aState.maxAttempts && !aState.isConvicted &&
+  return isRepeatable && aState.runs < aState.maxAttempts && !aState.isQuarantined &&
          aState.timeLeft > kMinAttemptTime;
 }
 
@@ -25,7 +25,7 @@
   switch (aEnd) {
     case AttemptEnd::kAnswered:
       return "answered";
-    case AttemptEnd::kFailure:
+    case AttemptEnd::kErrorAnswer:
       return "failure";
     case AttemptEnd::kNotSent:
       return "not_sent";
@@ -33,7 +33,7 @@
       return "not_run";
     case AttemptEnd::kLost:
       return "lost";
-    case AttemptEnd::kCutMidway:
+    case AttemptEnd::kBrokenOff:
       return "cut_midway";
   }
   return "unknown";
@@ -43,19 +43,19 @@
 {
   switch (aEnd) {
     case AttemptEnd::kAnswered:
-      return NextStep::kPassOn;
-    case AttemptEnd::kFailure:
-      return MayRunAgain(aState) ? NextStep::kTryAgain : NextStep::kPassOn;
+      return NextStep::kForwardAnswer;
+    case AttemptEnd::kErrorAnswer:
+      return MayRunAgain(aState) ? NextStep::kRetry : NextStep::kForwardAnswer;
     case AttemptEnd::kNotSent:
     case AttemptEnd::kNotRun:
       if (aState.refusals < kRefusalLimit && aState.timeLeft > kMinAttemptTime) {
-        return NextStep::kTryAgain;
+        return NextStep::kRetry;
       }
       return aState.runs == 0 ? NextStep::kRefuse : NextStep::kFail;
     case AttemptEnd::kLost:
-      return MayRunAgain(aState) ? NextStep::kTryAgain : NextStep::kFail;
-    case AttemptEnd::kCutMidway:
-      return MayRunAgain(aState) ? NextStep::kTryAgain : NextStep::kCut;
+      return MayRunAgain(aState) ? NextStep::kRetry : NextStep::kFail;
+    case AttemptEnd::kBrokenOff:
+      return MayRunAgain(aState) ? NextStep::kRetry : NextStep::kBreakOffAnswer;
   }
   return NextStep::kFail;
 }
--- a/src/decision/fleet/attempt_policy.h
+++ b/src/decision/fleet/attempt_policy.h
@@ -14,12 +14,12 @@
  * the caller does not verify. */
 enum class AttemptEnd : std::uint8_t
 {
-  kAnswered,  ///< A complete, signed answer.
-  kFailure,   ///< A complete, signed answer with a 5xx status. The request has run.
-  kNotSent,   ///< No byte of the request was sent.
-  kNotRun,    ///< The endpoint states that it has not run the request.
-  kLost,      ///< No complete and valid answer. The request may have run.
-  kCutMidway, ///< The answer broke off or became invalid after the client got a part of it.
+  kAnswered,    ///< A complete, signed answer.
+  kErrorAnswer, ///< A complete, signed answer with a 5xx status. The request has run.
+  kNotSent,     ///< No byte of the request was sent.
+  kNotRun,      ///< The endpoint states that it has not run the request.
+  kLost,        ///< No complete and valid answer. The request may have run.
+  kBrokenOff,   ///< The answer broke off or became invalid after the client got a part of it.
 };
 
 std::string_view ToString(AttemptEnd aEnd);
@@ -32,19 +32,19 @@
   std::uint32_t maxAttempts = 1;
   RouteKind kind = RouteKind::kNonIdempotent;
   bool isResumable = false;
-  bool isConvicted = false; ///< The request is quarantined because it crashes endpoints.
+  bool isQuarantined = false; ///< The request is quarantined because it crashes endpoints.
   Duration timeLeft{};
 };
 
 /* What to do with a request after an attempt. */
 enum class NextStep : std::uint8_t
 {
-  kTryAgain, ///< Send the request again. A resumable stream continues after the client's last
-             ///< event.
-  kPassOn,   ///< Forward the endpoint's answer to the client.
-  kRefuse,   ///< Tell the client that the request has not run.
-  kFail,     ///< Tell the client that the request may have run.
-  kCut,      ///< Break off the answer, because the client already has a part of it.
+  kRetry,          ///< Send the request again. A resumable stream continues after the client's last
+                   ///< event.
+  kForwardAnswer,  ///< Forward the endpoint's answer to the client.
+  kRefuse,         ///< Tell the client that the request has not run.
+  kFail,           ///< Tell the client that the request may have run.
+  kBreakOffAnswer, ///< Break off the answer, because the client already has a part of it.
 };
 
 /* Decides what follows an attempt. A request that was sent counts as run unless the endpoint states
--- a/src/decision/fleet/crash_guard.cpp
+++ b/src/decision/fleet/crash_guard.cpp
@@ -3,7 +3,7 @@
 
 namespace rhubarbtrail::fleet {
 
-void CrashGuard::NoteBreak(TimePoint aNow, const FingerprintId& aRequest)
+void CrashGuard::RecordCrash(TimePoint aNow, const FingerprintId& aRequest)
 {
   if (mSuspects.size() >= kMaxSuspects) {
     std::erase_if(mSuspects, [&](const auto& aItem) { return aItem.second.expiresAt < aNow; });
@@ -16,7 +16,7 @@
   suspect.expiresAt = aNow + kCrashCountLifetime;
 }
 
-bool CrashGuard::IsConvicted(TimePoint aNow, const FingerprintId& aRequest) const
+bool CrashGuard::IsQuarantined(TimePoint aNow, const FingerprintId& aRequest) const
 {
   const auto found = mSuspects.find(aRequest);
   return found != mSuspects.end() && found->second.expiresAt >= aNow &&
--- a/src/decision/fleet/crash_guard.h
+++ b/src/decision/fleet/crash_guard.h
@@ -26,11 +26,11 @@
 {
 public:
   /* Records that a runner's process ended while it ran the request. */
-  void NoteBreak(TimePoint aNow, const FingerprintId& aRequest);
+  void RecordCrash(TimePoint aNow, const FingerprintId& aRequest);
   /* Records that the request was answered. Returns whether it had crashes, and forgets them. */
-  bool NoteAnswer(const FingerprintId& aRequest) { return mSuspects.erase(aRequest) > 0; }
+  bool RecordAnswer(const FingerprintId& aRequest) { return mSuspects.erase(aRequest) > 0; }
   /* Returns whether the request is quarantined, that is, must not be sent to a runner. */
-  bool IsConvicted(TimePoint aNow, const FingerprintId& aRequest) const;
+  bool IsQuarantined(TimePoint aNow, const FingerprintId& aRequest) const;
 
 private:
   struct Suspect
--- a/src/decision/fleet/demand.h
+++ b/src/decision/fleet/demand_tracker.h
@@ -1,6 +1,6 @@
 /* Tracks the rate of requests for each model and the runner time that these requests need. */
-#ifndef RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
-#define RHUBARBTRAIL_DECISION_FLEET_DEMAND_H
+#ifndef RHUBARBTRAIL_DECISION_FLEET_DEMAND_TRACKER_H
+#define RHUBARBTRAIL_DECISION_FLEET_DEMAND_TRACKER_H
 
 #include "core/id_type.h"
 #include "core/unit_type.h"
@@ -42,11 +42,11 @@
 /* Keeps the recent demand for each model. Demand moves to other models several times a minute. A
  * short average follows a rise within the time of one or two model swaps. A long average keeps the
  * demand of a model up during gaps between its requests, so that the model stays loaded. */
-class DemandBook
+class DemandTracker
 {
 public:
   /* Records a request that needs aWork of a runner's time. */
-  void Note(TimePoint aNow, const ModelId& aModel, Duration aWork)
+  void Record(TimePoint aNow, const ModelId& aModel, Duration aWork)
   {
     ModelDemand& demand = mDemandByModel[aModel];
     const double work = std::chrono::duration<double>(aWork).count();
@@ -56,7 +56,7 @@
   }
 
   /* Returns the requests for a model per second. */
-  double Rate(TimePoint aNow, const ModelId& aModel) const
+  double RequestRate(TimePoint aNow, const ModelId& aModel) const
   {
     const auto found = mDemandByModel.find(aModel);
     return found == mDemandByModel.end() ? 0.0 : found->second.requestRate.ValueAt(aNow);
@@ -64,7 +64,7 @@
 
   /* Returns the number of runners that the requests for a model keep busy: the larger of both
    * averages. */
-  double Work(TimePoint aNow, const ModelId& aModel) const
+  double BusyRunners(TimePoint aNow, const ModelId& aModel) const
   {
     const auto found = mDemandByModel.find(aModel);
     return found == mDemandByModel.end() ? 0.0
--- a/src/decision/fleet/dispatch_type.h
+++ b/src/decision/fleet/dispatch_type.h
@@ -15,38 +15,39 @@
 namespace rhubarbtrail::fleet {
 
 /* Identifies a placement request among those of all daemons. */
-struct AskId
+struct PlacementRequestId
 {
   DaemonId daemon;
   std::uint64_t number = 0;
 
-  auto operator<=>(const AskId&) const = default;
-  bool operator==(const AskId&) const = default;
+  auto operator<=>(const PlacementRequestId&) const = default;
+  bool operator==(const PlacementRequestId&) const = default;
 };
 
 /* A placement request: a daemon asks the dispatcher to assign a client's request to a runner. */
-struct PlacementAsk
+struct PlacementRequest
 {
-  AskId id;
+  PlacementRequestId id;
   std::string requestId; ///< For logs.
   std::string route;
   ServiceId service;
   ModelWork work;
   std::uint32_t priority = 0;
-  Duration objective{}; ///< Time from now to the first event that meets the route's latency goal.
+  Duration
+    latencyObjective{}; ///< Time from now to the first event that meets the route's latency goal.
   Duration timeLeft{};  ///< Time from now until the client gives up.
   bool isResumable = false;
-  std::vector<EndpointId> excluded; ///< Runners where an attempt failed or was refused.
+  std::vector<EndpointId> failedRunners; ///< Runners where an attempt failed or was refused.
 };
 
 /* The runner to which the daemon may send the request now. */
-struct PlaceGranted
+struct RunnerAssigned
 {
   EndpointId runner;
 };
 
 /* The request cannot be assigned to a runner in time. */
-struct PlaceRefused
+struct PlacementRefused
 {
   ResultCode code = ResultCode::kReplicaUnavailable;
   Duration retryAfter{};
@@ -54,17 +55,17 @@
 
 /* There is no decision, so the daemon chooses a runner by its own data. This is the answer when the
  * dispatcher was lost, is no longer the dispatcher, or does not know the service or the model. */
-struct PlaceUnknown
+struct PlacementUndecided
 {};
 
 struct PlacementReply
 {
-  AskId id;
-  std::variant<PlaceGranted, PlaceRefused, PlaceUnknown> answer;
+  PlacementRequestId id;
+  std::variant<RunnerAssigned, PlacementRefused, PlacementUndecided> answer;
 };
 
 /* Why an assignment, or the placement request before it, ended. */
-enum class PlaceEnd : std::uint8_t
+enum class AssignmentEnd : std::uint8_t
 {
   kWithdrawn, ///< The daemon does not need the assignment any more.
   kDone,      ///< The runner answered completely, or the daemon cancelled the attempt.
@@ -74,22 +75,23 @@
 };
 
 /* Ends an assignment or withdraws a placement request. */
-struct PlaceReleased
+struct AssignmentReleased
 {
-  AskId id;
-  PlaceEnd end = PlaceEnd::kDone;
-  Duration firstEvent{}; ///< From sending the request to its first event. 0 if there was none.
+  PlacementRequestId id;
+  AssignmentEnd end = AssignmentEnd::kDone;
+  Duration
+    timeToFirstEvent{}; ///< From sending the request to its first event. 0 if there was none.
 };
 
 /* Tells a new dispatcher about an assignment that is already in use. */
-struct PlaceInUse
+struct AssignmentInUse
 {
-  PlacementAsk ask;
+  PlacementRequest request;
   EndpointId runner;
 };
 
 /* A message from a daemon to the dispatcher. */
-using DispatchMessage = std::variant<PlacementAsk, PlaceReleased, PlaceInUse>;
+using DispatchMessage = std::variant<PlacementRequest, AssignmentReleased, AssignmentInUse>;
 
 } // namespace rhubarbtrail::fleet
 
--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -17,20 +17,20 @@
  * refused adapter wait as long. */
 constexpr Duration kRefusalReportDelay = 150ms;
 
-EndpointSign HealthSignOf(PlaceEnd aEnd)
+EndpointOutcome EndpointOutcomeOf(AssignmentEnd aEnd)
 {
   switch (aEnd) {
-    case PlaceEnd::kDone:
-      return EndpointSign::kGood;
-    case PlaceEnd::kRefused:
-      return EndpointSign::kRefused;
-    case PlaceEnd::kFailed:
-    case PlaceEnd::kLost:
-      return EndpointSign::kFailed;
-    case PlaceEnd::kWithdrawn:
-      return EndpointSign::kCancelled;
+    case AssignmentEnd::kDone:
+      return EndpointOutcome::kSucceeded;
+    case AssignmentEnd::kRefused:
+      return EndpointOutcome::kRefused;
+    case AssignmentEnd::kFailed:
+    case AssignmentEnd::kLost:
+      return EndpointOutcome::kFailed;
+    case AssignmentEnd::kWithdrawn:
+      return EndpointOutcome::kCancelled;
   }
-  return EndpointSign::kCancelled;
+  return EndpointOutcome::kCancelled;
 }
 
 } // namespace
@@ -77,7 +77,7 @@
   aRunner.cache.SetCapacity(aRunner.engine == nullptr ? 0 : aRunner.engine->cacheTokens);
 }
 
-void Dispatcher::SetOrderRight(const OrderPermission& aPermission)
+void Dispatcher::SetOrderPermission(const OrderPermission& aPermission)
 {
   if (aPermission.fence != mOrderPermission.fence) {
     // Another daemon may have sent orders since this daemon last held the lease.
@@ -121,7 +121,7 @@
   AdoptHoldings(aNow, aRunner, aEntry.holdings);
 }
 
-void Dispatcher::OnRunner(TimePoint aNow, const RunnerEntry& aEntry)
+void Dispatcher::OnRunnerEntry(TimePoint aNow, const RunnerEntry& aEntry)
 {
   ManagedRunner& runner = mRunners[aEntry.id];
   const bool isOtherRunner = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
@@ -162,7 +162,7 @@
   std::erase_if(aRunner.models, [&](const auto& aItem) {
     const bool isHeld = aHoldings.models.contains(aItem.first);
     if (!isHeld) {
-      aRunner.cache.Drop(aItem.first);
+      aRunner.cache.RemoveModel(aItem.first);
     }
     return !isHeld;
   });
@@ -172,7 +172,7 @@
     HeldModel& held = aRunner.models[model];
     std::erase_if(held.adapters, [&](const auto& aItem) {
       return !adapters.contains(aItem.first) &&
-             !aHoldings.arriving.contains({ .model = model, .adapter = aItem.first });
+             !aHoldings.loadingAdapters.contains({ .model = model, .adapter = aItem.first });
     });
     for (const AdapterId& adapter : adapters) {
       HeldAdapter& known = held.adapters[adapter];
@@ -180,7 +180,7 @@
       known.readyAt = std::min(known.readyAt, aNow);
     }
   }
-  for (const ModelRef& arriving : aHoldings.arriving) {
+  for (const ModelRef& arriving : aHoldings.loadingAdapters) {
     if (const auto held = aRunner.models.find(arriving.model); held != aRunner.models.end()) {
       held->second.adapters.try_emplace(arriving.adapter,
                                         HeldAdapter{ .readyAt = aNow + kAdapterLoadTime });
@@ -190,12 +190,14 @@
   aRunner.onDisk = aHoldings.onDisk;
 }
 
-void Dispatcher::OnAsk(TimePoint aNow, const PlacementAsk& aRequest, const ZoneId& aZone)
+void Dispatcher::OnPlacementRequest(TimePoint aNow,
+                                    const PlacementRequest& aRequest,
+                                    const ZoneId& aZone)
 {
   if (const auto known = mAssignments.find(aRequest.id); known != mAssignments.end()) {
     // A repeated request is already assigned: the first reply was lost with a connection.
     mActions.emplace_back(
-      PlacementReply{ .id = aRequest.id, .answer = PlaceGranted{ known->second.runner } });
+      PlacementReply{ .id = aRequest.id, .answer = RunnerAssigned{ known->second.runner } });
     return;
   }
   const bool isAlreadyWaiting =
@@ -206,8 +208,8 @@
     return;
   }
   const ModelId& model = aRequest.work.target.model;
-  const double factor = mPaces.Factor(model);
-  mDemand.Note(aNow, model, ScaleDuration(EstimateRunnerTime(aRequest.work), factor));
+  const double factor = mServiceTimes.Factor(model);
+  mDemand.Record(aNow, model, ScaleDuration(EstimateRunnerTime(aRequest.work), factor));
   // Load pattern: bursts at several hosts at once. The most urgent requests of all hosts go first.
   const auto position = std::upper_bound(mWaitingRequests.begin(),
                                          mWaitingRequests.end(),
@@ -222,7 +224,7 @@
                             .deadline = aNow + aRequest.timeLeft });
 }
 
-void Dispatcher::OnReleased(TimePoint aNow, const PlaceReleased& aReleased)
+void Dispatcher::OnAssignmentReleased(TimePoint aNow, const AssignmentReleased& aReleased)
 {
   std::erase_if(mWaitingRequests,
                 [&](const WaitingRequest& aItem) { return aItem.request.id == aReleased.id; });
@@ -232,14 +234,14 @@
   }
   if (assignment->second.model.adapter.empty() &&
       assignment->second.expectedTimeToFirstEvent > Duration::zero()) {
-    mPaces.Note(assignment->second.model.model,
-                assignment->second.expectedTimeToFirstEvent,
-                aReleased.firstEvent);
+    mServiceTimes.Record(assignment->second.model.model,
+                         assignment->second.expectedTimeToFirstEvent,
+                         aReleased.timeToFirstEvent);
   }
   const auto runner = mRunners.find(assignment->second.runner);
   if (runner != mRunners.end()) {
-    runner->second.health.Note(aNow, HealthSignOf(aReleased.end));
-    if (aReleased.end == PlaceEnd::kRefused) {
+    runner->second.health.Record(aNow, EndpointOutcomeOf(aReleased.end));
+    if (aReleased.end == AssignmentEnd::kRefused) {
       // The runner may not hold what is assumed. It gets no orders until a report confirms its
       // state.
       const ModelRef target = assignment->second.model;
@@ -256,11 +258,11 @@
   ReleaseAssignment(aNow, aReleased.id);
 }
 
-void Dispatcher::OnPlaceInUse(TimePoint aNow, const PlaceInUse& aAssignment)
+void Dispatcher::OnAssignmentInUse(TimePoint aNow, const AssignmentInUse& aAssignment)
 {
   const auto runner = mRunners.find(aAssignment.runner);
-  if (runner != mRunners.end() && !mAssignments.contains(aAssignment.ask.id)) {
-    AddAssignment(aNow, aAssignment.ask, runner->second, Duration::zero());
+  if (runner != mRunners.end() && !mAssignments.contains(aAssignment.request.id)) {
+    AddAssignment(aNow, aAssignment.request, runner->second, Duration::zero());
   }
 }
 
@@ -273,13 +275,13 @@
 
 void Dispatcher::ReleaseAssignmentsOf(const std::optional<DaemonId>& aDaemon)
 {
-  std::vector<AskId> requests;
+  std::vector<PlacementRequestId> requests;
   for (const auto& [id, assignment] : mAssignments) {
     if (!aDaemon || id.daemon == *aDaemon) {
       requests.push_back(id);
     }
   }
-  for (const AskId& id : requests) {
+  for (const PlacementRequestId& id : requests) {
     ReleaseAssignment({}, id);
   }
 }
@@ -297,7 +299,7 @@
 }
 
 void Dispatcher::AddAssignment(TimePoint aNow,
-                               const PlacementAsk& aRequest,
+                               const PlacementRequest& aRequest,
                                ManagedRunner& aRunner,
                                Duration aTimeToFirstEvent)
 {
@@ -309,12 +311,12 @@
   mAssignments.insert_or_assign(aRequest.id, assignment);
   ++aRunner.inFlight;
   aRunner.tokens += assignment.tokens;
-  const std::uint32_t cachedTokens = aRunner.cache.KeptTokens(aRequest.work);
+  const std::uint32_t cachedTokens = aRunner.cache.CachedTokens(aRequest.work);
   const Duration promptTime = PromptProcessingTime(
     aRequest.work.promptTokens - std::min(cachedTokens, aRequest.work.promptTokens));
-  aRunner.promptsDoneAt =
-    std::max(aRunner.promptsDoneAt, aNow) + ScaleDuration(promptTime, mPaces.Factor(target.model));
-  aRunner.cache.Note(aRequest.work);
+  aRunner.promptsDoneAt = std::max(aRunner.promptsDoneAt, aNow) +
+                          ScaleDuration(promptTime, mServiceTimes.Factor(target.model));
+  aRunner.cache.Record(aRequest.work);
   if (const auto held = aRunner.models.find(target.model); held != aRunner.models.end()) {
     ++held->second.inFlight;
     held->second.lastUsed = aNow;
@@ -326,7 +328,7 @@
   }
 }
 
-void Dispatcher::ReleaseAssignment(TimePoint aNow, const AskId& aRequest)
+void Dispatcher::ReleaseAssignment(TimePoint aNow, const PlacementRequestId& aRequest)
 {
   const auto found = mAssignments.find(aRequest);
   if (found == mAssignments.end()) {
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -4,13 +4,13 @@
 #ifndef RHUBARBTRAIL_DECISION_FLEET_DISPATCHER_H
 #define RHUBARBTRAIL_DECISION_FLEET_DISPATCHER_H
 
-#include "decision/fleet/demand.h"
+#include "decision/fleet/demand_tracker.h"
 #include "decision/fleet/dispatch_type.h"
 #include "decision/fleet/endpoint_health.h"
 #include "decision/fleet/fleet_configuration_type.h"
 #include "decision/fleet/order_type.h"
-#include "decision/fleet/pace.h"
 #include "decision/fleet/prompt_cache.h"
+#include "decision/fleet/service_time_tracker.h"
 
 #include <deque>
 #include <map>
@@ -25,14 +25,14 @@
 namespace rhubarbtrail::fleet {
 
 /* Asks the caller of Tick() to fetch a report from this runner and to pass it to OnReport(). */
-struct ReportWanted
+struct ReportRequest
 {
   EndpointId runner;
   std::string address;
 };
 
 /* A decision, to be written to the event log. */
-struct DispatchNote
+struct DispatchLogRecord
 {
   std::string_view event;
   std::string request; ///< Empty when the decision is not about a single request.
@@ -45,7 +45,7 @@
   std::uint64_t count = 0;
 };
 
-using DispatchAction = std::variant<PlacementReply, RunnerOrder, ReportWanted, DispatchNote>;
+using DispatchAction = std::variant<PlacementReply, RunnerOrder, ReportRequest, DispatchLogRecord>;
 
 /* Whether this daemon may send orders now, and with which holder name and fencing token. */
 struct OrderPermission
@@ -148,13 +148,13 @@
 {
 public:
   void SetConfiguration(std::shared_ptr<const FleetConfiguration> aConfiguration);
-  void SetOrderRight(const OrderPermission& aPermission);
+  void SetOrderPermission(const OrderPermission& aPermission);
 
-  void OnRunner(TimePoint aNow, const RunnerEntry& aEntry);
+  void OnRunnerEntry(TimePoint aNow, const RunnerEntry& aEntry);
   void OnRunnerGone(const EndpointId& aRunner);
-  void OnAsk(TimePoint aNow, const PlacementAsk& aRequest, const ZoneId& aZone);
-  void OnReleased(TimePoint aNow, const PlaceReleased& aReleased);
-  void OnPlaceInUse(TimePoint aNow, const PlaceInUse& aAssignment);
+  void OnPlacementRequest(TimePoint aNow, const PlacementRequest& aRequest, const ZoneId& aZone);
+  void OnAssignmentReleased(TimePoint aNow, const AssignmentReleased& aReleased);
+  void OnAssignmentInUse(TimePoint aNow, const AssignmentInUse& aAssignment);
   /* Drops the placement requests of a daemon that is gone and releases its assignments. */
   void OnDaemonLost(const DaemonId& aDaemon);
   /* Drops requests, assignments, swaps and pending orders when this daemon stops being the
@@ -168,10 +168,10 @@
    * carry out. */
   std::vector<DispatchAction> Tick(TimePoint aNow);
   /* When to call Tick() next if no event arrives before. */
-  TimePoint nextWake() const { return mNextTickAt; }
+  TimePoint nextTickAt() const { return mNextTickAt; }
 
-  std::size_t waiting() const { return mWaitingRequests.size(); }
-  std::size_t placesInUse() const { return mAssignments.size(); }
+  std::size_t waitingRequests() const { return mWaitingRequests.size(); }
+  std::size_t activeAssignments() const { return mAssignments.size(); }
   const std::map<EndpointId, ManagedRunner>& runners() const { return mRunners; }
 
   /* Limits on loads from the weight store. */
@@ -185,7 +185,7 @@
 private:
   struct WaitingRequest
   {
-    PlacementAsk request;
+    PlacementRequest request;
     ZoneId zone;
     TimePoint receivedAt{};
     TimePoint deadline{};
@@ -224,14 +224,14 @@
 
   // dispatcher.cpp
   void ScheduleTick(TimePoint aTime);
-  void LogDecision(DispatchNote aNote) { mActions.emplace_back(std::move(aNote)); }
+  void LogDecision(DispatchLogRecord aNote) { mActions.emplace_back(std::move(aNote)); }
   void ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry);
   void AdoptHoldings(TimePoint aNow, ManagedRunner& aRunner, const RunnerHoldings& aHoldings);
   void AddAssignment(TimePoint aNow,
-                     const PlacementAsk& aRequest,
+                     const PlacementRequest& aRequest,
                      ManagedRunner& aRunner,
                      Duration aTimeToFirstEvent);
-  void ReleaseAssignment(TimePoint aNow, const AskId& aRequest);
+  void ReleaseAssignment(TimePoint aNow, const PlacementRequestId& aRequest);
   /* Releases the assignments of a daemon, or of all daemons if none is given. */
   void ReleaseAssignmentsOf(const std::optional<DaemonId>& aDaemon);
   void CancelSwaps();
@@ -345,10 +345,10 @@
   TimePoint mNextOverloadCheckAt{};
   /* Replicas that are planned or being loaded. Recounted at each tick. */
   std::map<std::pair<ServiceId, ModelId>, std::uint32_t> mIncomingReplicas;
-  std::map<AskId, Assignment> mAssignments;
+  std::map<PlacementRequestId, Assignment> mAssignments;
   std::map<EndpointId, Swap> mSwaps; ///< By runner.
-  DemandBook mDemand;
-  PaceBook mPaces;
+  DemandTracker mDemand;
+  ServiceTimeTracker mServiceTimes;
   StoreLimits mStoreLimits;
   /* Estimated number of concurrent weight store loads that run at full speed. */
   double mStoreConcurrency = 4.0;
--- a/src/decision/fleet/dispatcher_assign.cpp
+++ b/src/decision/fleet/dispatcher_assign.cpp
@@ -41,7 +41,7 @@
                                                              const ManagedRunner& aRunner,
                                                              const WaitingRequest& aWaiting) const
 {
-  const PlacementAsk& request = aWaiting.request;
+  const PlacementRequest& request = aWaiting.request;
   const auto held = aRunner.models.find(request.work.target.model);
   if (held == aRunner.models.end() || held->second.isLeaving) {
     return std::nullopt;
@@ -56,10 +56,10 @@
     return std::nullopt;
   }
   const std::uint32_t cachedTokens =
-    std::min(aRunner.cache.KeptTokens(request.work), request.work.promptTokens);
+    std::min(aRunner.cache.CachedTokens(request.work), request.work.promptTokens);
   Duration time = std::max(aRunner.promptsDoneAt - aNow, Duration::zero()) +
                   ScaleDuration(PromptProcessingTime(request.work.promptTokens - cachedTokens),
-                                mPaces.Factor(request.work.target.model)) +
+                                mServiceTimes.Factor(request.work.target.model)) +
                   aRunner.inFlight * kDelayPerRunningRequest;
   if (aRunner.entry.zone != aWaiting.zone) {
     time += kCrossZonePenalty;
@@ -83,12 +83,12 @@
 
 bool Dispatcher::TryToAssign(TimePoint aNow, const WaitingRequest& aWaiting)
 {
-  const PlacementAsk& request = aWaiting.request;
+  const PlacementRequest& request = aWaiting.request;
   const Engine* engine = EngineOf(request.service);
   if (engine == nullptr || !engine->models.contains(request.work.target.model)) {
     // The requesting daemon has another configuration, which may contain the model. It chooses a
     // runner itself.
-    mActions.emplace_back(PlacementReply{ .id = request.id, .answer = PlaceUnknown{} });
+    mActions.emplace_back(PlacementReply{ .id = request.id, .answer = PlacementUndecided{} });
     return true;
   }
   ManagedRunner* best = nullptr;
@@ -102,9 +102,9 @@
       continue;
     }
     const bool hasFailed =
-      std::find(request.excluded.begin(), request.excluded.end(), runner->entry.id) !=
-      request.excluded.end();
-    const std::tuple rank{ hasFailed, runner->health.IsDoubted(aNow), *time };
+      std::find(request.failedRunners.begin(), request.failedRunners.end(), runner->entry.id) !=
+      request.failedRunners.end();
+    const std::tuple rank{ hasFailed, runner->health.IsAvoided(aNow), *time };
     if (best == nullptr || rank < bestRank) {
       best = runner;
       bestRank = rank;
@@ -117,7 +117,7 @@
     }
     // Load pattern: more models requested than can be swapped in. A request that will not be served
     // in time is refused early enough for a retry to help.
-    const Duration maxWait = std::max(request.objective * 3 / 2, kMinWaitForModel);
+    const Duration maxWait = std::max(request.latencyObjective * 3 / 2, kMinWaitForModel);
     if (mOrderPermission.mayOrder && aNow - aWaiting.receivedAt > maxWait &&
         RunnersWithModel(request.work.target.model).empty() &&
         IncomingReplicas(request.service, request.work.target.model) == 0) {
@@ -164,7 +164,7 @@
                 .count = aRunner.inFlight });
   AddAssignment(aNow, aWaiting.request, aRunner, aTimeToFirstEvent);
   mActions.emplace_back(
-    PlacementReply{ .id = aWaiting.request.id, .answer = PlaceGranted{ aRunner.entry.id } });
+    PlacementReply{ .id = aWaiting.request.id, .answer = RunnerAssigned{ aRunner.entry.id } });
 }
 
 void Dispatcher::Refuse(TimePoint aNow,
@@ -182,8 +182,8 @@
   const bool isEarly = aCode == ResultCode::kReplicaUnavailable;
   mActions.emplace_back(PlacementReply{
     .id = aWaiting.request.id,
-    .answer = PlaceRefused{ .code = aCode,
-                            .retryAfter = isEarly ? kRetryAfterRefusal : Duration::zero() } });
+    .answer = PlacementRefused{ .code = aCode,
+                                .retryAfter = isEarly ? kRetryAfterRefusal : Duration::zero() } });
 }
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/dispatcher_order.cpp
+++ b/src/decision/fleet/dispatcher_order.cpp
@@ -205,7 +205,7 @@
     case OrderOutcome::kAccepted:
       OnAccepted(aNow, runner);
       break;
-    case OrderOutcome::kHolds:
+    case OrderOutcome::kAlreadyDone:
       OnAlreadyInEffect(aNow, runner);
       break;
     case OrderOutcome::kConflict:
@@ -257,7 +257,7 @@
   mIsModelIndexStale = true;
   if (pending.precedingUnload) {
     aRunner.models.erase(*pending.precedingUnload);
-    aRunner.cache.Drop(*pending.precedingUnload);
+    aRunner.cache.RemoveModel(*pending.precedingUnload);
     pending.precedingUnload.reset();
   }
   const ModelRef subject = pending.order.subject;
@@ -323,7 +323,7 @@
     aRunner.onDisk.insert(model);
   } else {
     aRunner.models.erase(model);
-    aRunner.cache.Drop(model);
+    aRunner.cache.RemoveModel(model);
   }
   LogDecision({ .event = "order_finished",
                 .request = {},
@@ -397,7 +397,7 @@
     }
     runner.nextReportAt.reset();
     runner.isReportRequested = true;
-    mActions.emplace_back(ReportWanted{ .runner = id, .address = runner.entry.address });
+    mActions.emplace_back(ReportRequest{ .runner = id, .address = runner.entry.address });
   }
 }
 
--- a/src/decision/fleet/dispatcher_plan.cpp
+++ b/src/decision/fleet/dispatcher_plan.cpp
@@ -73,9 +73,9 @@
 Duration LoadTime(const ManagedRunner& aRunner, const Model& aModel)
 {
   if (aRunner.inHostMemory.contains(aModel.id)) {
-    return aModel.memoryLoad;
+    return aModel.memoryLoadTime;
   }
-  return aRunner.onDisk.contains(aModel.id) ? aModel.diskLoad : aModel.storeLoad;
+  return aRunner.onDisk.contains(aModel.id) ? aModel.diskLoadTime : aModel.storeLoadTime;
 }
 
 } // namespace
@@ -162,8 +162,9 @@
   if (model == nullptr) {
     return 0.0; // The model is no longer configured, so no request can be for it.
   }
-  const double rate = mDemand.Rate(aNow, aModel);
-  const double needed = std::max(1.0, std::ceil(mDemand.Work(aNow, aModel) / kMaxWorkPerReplica));
+  const double rate = mDemand.RequestRate(aNow, aModel);
+  const double needed =
+    std::max(1.0, std::ceil(mDemand.BusyRunners(aNow, aModel) / kMaxWorkPerReplica));
   const double replicas = std::max<double>(CountReplicas(aRunner.entry.service, aModel), 1.0);
   const double requestProbability = 1.0 - std::exp(-rate * kDemandHorizonS);
   const double value =
@@ -263,7 +264,7 @@
                                 const WaitingRequest& aWaiting,
                                 Duration aLoadTime) const
 {
-  const bool isInTime = aNow + aLoadTime <= aWaiting.receivedAt + aWaiting.request.objective;
+  const bool isInTime = aNow + aLoadTime <= aWaiting.receivedAt + aWaiting.request.latencyObjective;
   return isInTime ? 1.0 : kLateAnswerValue;
 }
 
@@ -282,7 +283,7 @@
     const Engine* engine = EngineOf(waiting.request.service);
     const Model* model = engine == nullptr ? nullptr : engine->Find(id);
     if (model != nullptr) {
-      missing[{ waiting.request.service, id }] += RequestValue(aNow, waiting, model->diskLoad);
+      missing[{ waiting.request.service, id }] += RequestValue(aNow, waiting, model->diskLoadTime);
     }
   }
   std::vector<std::pair<double, std::pair<ServiceId, ModelId>>> ordered;
@@ -314,7 +315,7 @@
     return;
   }
   for (const ModelId& model : mDemand.Models()) {
-    const double work = mDemand.Work(aNow, model);
+    const double work = mDemand.BusyRunners(aNow, model);
     if (work <= kMaxWorkPerReplica) {
       continue;
     }
@@ -354,7 +355,7 @@
 {
   for (auto& [id, runner] : mRunners) {
     if (!CanPlanSwap(runner) || !MayReceiveNewOrder(aNow, runner) ||
-        runner.health.IsDoubted(aNow)) {
+        runner.health.IsAvoided(aNow)) {
       continue;
     }
     const auto model = BestModelForFreeMemory(aNow, runner);
@@ -389,9 +390,10 @@
       continue;
     }
     const double replicas = CountReplicas(aRunner.entry.service, id);
-    const double missDelay =
-      ToSeconds(HasLocalCopy(aRunner.entry.service, id) ? model->diskLoad : model->storeLoad);
-    const double value = mDemand.Rate(aNow, id) * missDelay / ((1.0 + replicas) * (1.0 + replicas));
+    const double missDelay = ToSeconds(
+      HasLocalCopy(aRunner.entry.service, id) ? model->diskLoadTime : model->storeLoadTime);
+    const double value =
+      mDemand.RequestRate(aNow, id) * missDelay / ((1.0 + replicas) * (1.0 + replicas));
     if (value > bestValue) {
       best = id;
       bestValue = value;
@@ -414,7 +416,7 @@
   std::optional<Swap> best;
   for (const auto& [id, runner] : mRunners) {
     if (runner.entry.service != aService || !IsUsable(runner) || runner.models.contains(aModel) ||
-        runner.health.IsDoubted(aNow)) {
+        runner.health.IsAvoided(aNow)) {
       continue;
     }
     auto swap = FindSwap(aNow, runner, *model);
@@ -508,7 +510,7 @@
             OrderKind::kLoad,
             { .model = aSwap.model, .adapter = {} },
             { .expectedDuration = aSwap.loadTime,
-              .durationWithoutMemoryCopy = std::max(aSwap.loadTime, model->diskLoad),
+              .durationWithoutMemoryCopy = std::max(aSwap.loadTime, model->diskLoadTime),
               .isFromStore = aSwap.isFromStore,
               .why = "asked_for" });
   return false;
--- a/src/decision/fleet/endpoint_health.cpp
+++ b/src/decision/fleet/endpoint_health.cpp
@@ -19,14 +19,14 @@
 
 } // namespace
 
-void EndpointHealth::Note(TimePoint aNow, EndpointSign aSign)
+void EndpointHealth::Record(TimePoint aNow, EndpointOutcome aSign)
 {
   switch (aSign) {
-    case EndpointSign::kGood:
+    case EndpointOutcome::kSucceeded:
       mFailureShare -= kFailureWeight * mFailureShare;
       mConsecutiveFailures = 0;
       break;
-    case EndpointSign::kFailed:
+    case EndpointOutcome::kFailed:
       mFailureShare += kFailureWeight * (1.0 - mFailureShare);
       ++mConsecutiveFailures;
       if (mFailureShare > kAvoidanceThreshold) {
@@ -34,15 +34,15 @@
         mAvoidedUntil = aNow + std::min(kMinAvoidanceTime * (1 << doublings), kMaxAvoidanceTime);
       }
       break;
-    case EndpointSign::kRefused:
+    case EndpointOutcome::kRefused:
       mAvoidedUntil = std::max(mAvoidedUntil, aNow + kRefusalAvoidanceTime);
       break;
-    case EndpointSign::kMisaddressed:
+    case EndpointOutcome::kWrongEndpoint:
       // The endpoint's entry is outdated. An entry with another address, start time or service
       // resets this.
       mAvoidedUntil = aNow + kMaxAvoidanceTime;
       break;
-    case EndpointSign::kCancelled:
+    case EndpointOutcome::kCancelled:
       break;
   }
 }
--- a/src/decision/fleet/endpoint_health.h
+++ b/src/decision/fleet/endpoint_health.h
@@ -11,13 +11,13 @@
 namespace rhubarbtrail::fleet {
 
 /* The outcome of an attempt at an endpoint, as far as it concerns the endpoint's health. */
-enum class EndpointSign : std::uint8_t
+enum class EndpointOutcome : std::uint8_t
 {
-  kGood,         ///< It answered without a failure.
-  kRefused,      ///< It was full, or had not loaded the requested model.
-  kFailed,       ///< It answered with a failure, broke off, did not answer or could not be reached.
-  kMisaddressed, ///< Another endpoint has this address.
-  kCancelled,    ///< The daemon cancelled the attempt, so the health does not change.
+  kSucceeded, ///< It answered without a failure.
+  kRefused,   ///< It was full, or had not loaded the requested model.
+  kFailed,    ///< It answered with a failure, broke off, did not answer or could not be reached.
+  kWrongEndpoint, ///< Another endpoint has this address.
+  kCancelled,     ///< The daemon cancelled the attempt, so the health does not change.
 };
 
 /* A circuit breaker for one endpoint. An endpoint that fails a large share of its requests is
@@ -25,10 +25,10 @@
 class EndpointHealth
 {
 public:
-  void Note(TimePoint aNow, EndpointSign aSign);
+  void Record(TimePoint aNow, EndpointOutcome aSign);
   void Reset() { *this = {}; }
   /* Returns whether requests should go to other endpoints for now. */
-  bool IsDoubted(TimePoint aNow) const { return aNow < mAvoidedUntil; }
+  bool IsAvoided(TimePoint aNow) const { return aNow < mAvoidedUntil; }
   double failureShare() const { return mFailureShare; }
 
 private:
--- a/src/decision/fleet/fleet_configuration_type.h
+++ b/src/decision/fleet/fleet_configuration_type.h
@@ -38,8 +38,8 @@
   RouteKind kind = RouteKind::kNonIdempotent;
   bool isResumable = false; ///< Another endpoint can continue a stream that broke off.
   Duration timeout{};       ///< Longest time from arrival to the end of the answer. 0 for no limit.
-  Duration objective{};     ///< Latency goal for the answer, or for the first event of a stream.
-  Duration pauseObjective{};     ///< Goal for the longest pause between two events of a stream.
+  Duration latencyObjective{}; ///< Latency goal for the answer, or for the first event of a stream.
+  Duration eventGapObjective{};  ///< Goal for the longest pause between two events of a stream.
   std::uint32_t priority = 0;    ///< 0 is the most urgent.
   std::uint32_t maxAttempts = 1; ///< Maximum number of attempts of one request that may run.
   std::vector<ServiceShare> services;
@@ -57,9 +57,9 @@
   MemoryMb weights;           ///< Memory for the model without adapters.
   MemoryMb adapterWeights;    ///< Memory for one adapter.
   std::uint32_t adapters = 0; ///< Number of adapters that the model has.
-  Duration storeLoad{};       ///< Load time from the weight store at its full speed.
-  Duration memoryLoad{};      ///< Load time from the runner's host memory.
-  Duration diskLoad{};        ///< Load time from the runner's own disk.
+  Duration storeLoadTime{};   ///< Load time from the weight store at its full speed.
+  Duration memoryLoadTime{};  ///< Load time from the runner's host memory.
+  Duration diskLoadTime{};    ///< Load time from the runner's own disk.
 };
 
 /* The capacity of each runner of a service that loads models. */
--- a/src/decision/fleet/order_lease.cpp
+++ b/src/decision/fleet/order_lease.cpp
@@ -37,11 +37,12 @@
   const bool isOwnRow = mRow.holder == mOptions.self;
   const bool isFree =
     mIsRowKnown &&
-    (isOwnRow || (mRow.holder.empty() && aNow - mRowChangedAt >= mOptions.headStart));
+    (isOwnRow || (mRow.holder.empty() && aNow - mRowChangedAt >= mOptions.additionalTakeoverDelay));
   // Reads must have returned the same row for a while. After an outage of the store that prevented
   // renewals, this gives the holder the time to renew before another daemon takes over.
   const bool isHolderTimedOut =
-    mIsRowKnown && aNow - mHolderSeenAt >= mOptions.takeoverDelay + mOptions.headStart &&
+    mIsRowKnown &&
+    aNow - mHolderSeenAt >= mOptions.takeoverDelay + mOptions.additionalTakeoverDelay &&
     mRowUnchangedSince && aNow - *mRowUnchangedSince >= mOptions.unchangedRowTime;
   if (isFree || isHolderTimedOut) {
     // The last known row may be outdated. The store rejects the write unless the version matches.
@@ -50,7 +51,7 @@
     mWriteSentAt = aNow;
     const bool isFirst = mVersion.value == 0;
     // The row shows this daemon as a holder that could send orders. No other one has done so since.
-    const bool wasLastToOrder = isOwnRow && mRow.hasWaited;
+    const bool wasLastToOrder = isOwnRow && mRow.isOrderWaitOver;
     // A holder sends no orders from when it releases the lease, before the row shows the release.
     const Duration formerOrderWindow =
       mRow.holder.empty() ? Duration::zero() : mOptions.orderWindow;
@@ -82,16 +83,16 @@
   return WriteLease{ mRowBeingWritten, mVersion };
 }
 
-LeaseRow OrderLease::MakeOwnRow(TimePoint aNow) const
+OrderLeaseRow OrderLease::MakeOwnRow(TimePoint aNow) const
 {
   return { .holder = mOptions.self,
            .incarnation = mOptions.incarnation,
            .address = mOptions.address,
-           .hasWaited = aNow >= mOrdersAllowedFrom,
+           .isOrderWaitOver = aNow >= mOrdersAllowedFrom,
            .renewals = mRow.renewals + 1 };
 }
 
-void OrderLease::UpdateRow(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
+void OrderLease::UpdateRow(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion)
 {
   if (mIsRowKnown && aVersion < mVersion) {
     return; // The row that this daemon knows is newer.
@@ -111,7 +112,7 @@
   mConfirmedWriteSentAt = {};
 }
 
-void OrderLease::OnRead(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
+void OrderLease::OnRead(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion)
 {
   mIsActionInProgress = false;
   const bool wasWriteUnconfirmed = std::exchange(mIsWriteUnconfirmed, false);
@@ -159,7 +160,7 @@
   mNextActionAt = mWriteSentAt + mOptions.renewalInterval;
 }
 
-void OrderLease::OnConflict(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion)
+void OrderLease::OnConflict(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion)
 {
   mIsActionInProgress = false;
   if (aRow.incarnation == mOptions.incarnation && aRow.holder == mOptions.self &&
@@ -189,10 +190,10 @@
   }
 }
 
-void OrderLease::OnHolderHeard(TimePoint aNow,
-                               const LeaseRow& aRow,
-                               RowVersion aVersion,
-                               HolderState aState)
+void OrderLease::OnHolderHeartbeat(TimePoint aNow,
+                                   const OrderLeaseRow& aRow,
+                                   RowVersion aVersion,
+                                   HolderState aState)
 {
   if (mPhase != Phase::kWatching || (mIsRowKnown && aVersion < mVersion)) {
     return;
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -14,15 +14,15 @@
 namespace rhubarbtrail::fleet {
 
 /* The contents of the lease row in the store. */
-struct LeaseRow
+struct OrderLeaseRow
 {
   DaemonId holder; ///< Empty after the holder has released the lease.
   IncarnationId incarnation;
-  std::string address;        ///< Address at which the holder accepts connections of other daemons.
-  bool hasWaited = false;     ///< The wait after orders of former holders is over.
-  std::uint64_t renewals = 0; ///< Number of times that the row was written, over all holders.
+  std::string address; ///< Address at which the holder accepts connections of other daemons.
+  bool isOrderWaitOver = false; ///< The wait after orders of former holders is over.
+  std::uint64_t renewals = 0;   ///< Number of times that the row was written, over all holders.
 
-  bool operator==(const LeaseRow&) const = default;
+  bool operator==(const OrderLeaseRow&) const = default;
 };
 
 struct OrderLeaseOptions
@@ -45,7 +45,7 @@
   /* Additional wait before this daemon takes a free or expired lease. Hosts with little processor
    * time set it, so that better equipped hosts get the lease first. There is no wait when the row
    * still names this daemon as the holder. */
-  Duration headStart{};
+  Duration additionalTakeoverDelay{};
 };
 
 /* Whether the holder's renewals reach the store. A heartbeat delays a takeover only if the holder
@@ -61,7 +61,7 @@
 
 struct WriteLease
 {
-  LeaseRow row;
+  OrderLeaseRow row;
   RowVersion expected;
 };
 
@@ -90,15 +90,18 @@
   std::optional<LeaseAction> Tick(TimePoint aNow);
 
   /* A read has returned the row. The version is 0 when the store has no such row. */
-  void OnRead(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
+  void OnRead(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion);
   void OnReadFailed(TimePoint aNow);
   void OnWritten(TimePoint aNow, RowVersion aVersion);
   /* A write was rejected because the row has another version. The arguments are the current row. */
-  void OnConflict(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
+  void OnConflict(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion);
   /* A write failed. If its result is unknown, the next action is a read that finds out. */
   void OnWriteFailed(TimePoint aNow, bool aMayHaveSucceeded);
   /* A heartbeat of the holder has arrived, with the row and version that the holder knows. */
-  void OnHolderHeard(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion, HolderState aState);
+  void OnHolderHeartbeat(TimePoint aNow,
+                         const OrderLeaseRow& aRow,
+                         RowVersion aVersion,
+                         HolderState aState);
   /* Releases the lease because the daemon shuts down. The next renewal clears the holder. */
   void Release() { mIsReleasing = true; }
 
@@ -110,7 +113,7 @@
   /* Returns the fencing token of this lease term: the row's version when the lease was taken. */
   Fence fence() const { return mFence; }
   /* Returns the last known row. Its holder is empty when no daemon holds the lease. */
-  const LeaseRow& row() const { return mRow; }
+  const OrderLeaseRow& row() const { return mRow; }
   RowVersion version() const { return mVersion; }
   bool isReleased() const { return mIsReleasing && mPhase != Phase::kHeld; }
 
@@ -122,22 +125,22 @@
     kHeld,
   };
 
-  void UpdateRow(TimePoint aNow, const LeaseRow& aRow, RowVersion aVersion);
+  void UpdateRow(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion);
   void LoseLease();
-  LeaseRow MakeOwnRow(TimePoint aNow) const;
+  OrderLeaseRow MakeOwnRow(TimePoint aNow) const;
   std::optional<LeaseAction> TickWatching(TimePoint aNow);
   std::optional<LeaseAction> TickHeld(TimePoint aNow);
 
   OrderLeaseOptions mOptions;
   Phase mPhase = Phase::kWatching;
-  LeaseRow mRow;
+  OrderLeaseRow mRow;
   RowVersion mVersion;
   Fence mFence;
   bool mIsActionInProgress = false; ///< A read or write is in progress.
   bool mIsRowKnown = false;         ///< The row was read, or arrived with a heartbeat.
   bool mIsWriteUnconfirmed = false; ///< The result of a write is unknown, so the row must be read.
   bool mIsReleasing = false;
-  LeaseRow mRowBeingWritten;
+  OrderLeaseRow mRowBeingWritten;
   TimePoint mRowChangedAt{}; ///< When this daemon last saw a new version of the row.
   std::optional<TimePoint> mRowUnchangedSince; ///< Since when all reads have returned this row.
   TimePoint mHolderSeenAt{}; ///< Last heartbeat of a renewing holder, or last change of the row.
--- a/src/decision/fleet/order_type.h
+++ b/src/decision/fleet/order_type.h
@@ -29,13 +29,13 @@
 
 enum class OrderOutcome : std::uint8_t
 {
-  kAccepted, ///< The runner has accepted the order and carries it out.
-  kHolds,    ///< The runner is already in the ordered state.
-  kConflict, ///< Another order is in progress, or the number of accepted orders differs.
-  kFenced,   ///< The runner has seen a newer fencing token.
-  kRejected, ///< The address belongs to another runner, or the runner does not know the order.
-  kUnknown,  ///< No usable answer. The runner may carry out the order, now or later.
-  kNotSent,  ///< No byte of the order was sent.
+  kAccepted,    ///< The runner has accepted the order and carries it out.
+  kAlreadyDone, ///< The runner is already in the ordered state.
+  kConflict,    ///< Another order is in progress, or the number of accepted orders differs.
+  kFenced,      ///< The runner has seen a newer fencing token.
+  kRejected,    ///< The address belongs to another runner, or the runner does not know the order.
+  kUnknown,     ///< No usable answer. The runner may carry out the order, now or later.
+  kNotSent,     ///< No byte of the order was sent.
 };
 
 } // namespace rhubarbtrail::fleet
--- a/src/decision/fleet/prompt_cache.cpp
+++ b/src/decision/fleet/prompt_cache.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-std::uint32_t PromptCache::KeptTokens(const ModelWork& aWork) const
+std::uint32_t PromptCache::CachedTokens(const ModelWork& aWork) const
 {
   std::uint64_t key = InitialKey(aWork.target);
   std::uint32_t cachedTokens = 0;
@@ -38,7 +38,7 @@
   return cachedTokens;
 }
 
-void PromptCache::Note(const ModelWork& aWork)
+void PromptCache::Record(const ModelWork& aWork)
 {
   std::uint64_t key = InitialKey(aWork.target);
   for (const PromptPart& part : aWork.parts) {
@@ -58,7 +58,7 @@
   }
 }
 
-void PromptCache::Drop(const ModelId& aModel)
+void PromptCache::RemoveModel(const ModelId& aModel)
 {
   for (auto part = mParts.begin(); part != mParts.end();) {
     if (part->model != aModel) {
--- a/src/decision/fleet/prompt_cache.h
+++ b/src/decision/fleet/prompt_cache.h
@@ -19,11 +19,11 @@
 
   /* Returns the number of tokens at the beginning of a prompt that the runner has cached and need
    * not process again. */
-  std::uint32_t KeptTokens(const ModelWork& aWork) const;
+  std::uint32_t CachedTokens(const ModelWork& aWork) const;
   /* Records that the runner processes a prompt and so caches its parts. */
-  void Note(const ModelWork& aWork);
+  void Record(const ModelWork& aWork);
   /* Removes all parts that belong to a model or its adapters. */
-  void Drop(const ModelId& aModel);
+  void RemoveModel(const ModelId& aModel);
   void Clear();
 
 private:
--- a/src/decision/fleet/retry_share.cpp
+++ b/src/decision/fleet/retry_share.cpp
@@ -30,12 +30,12 @@
   return slice;
 }
 
-void RetryShare::NoteRequest(TimePoint aNow, const ServiceId& aService)
+void RetryShare::RecordRequest(TimePoint aNow, const ServiceId& aService)
 {
   ++CurrentSlice(aNow, aService).requests;
 }
 
-double RetryShare::Left(TimePoint aNow, const ServiceId& aService) const
+double RetryShare::RemainingRetries(TimePoint aNow, const ServiceId& aService) const
 {
   const std::int64_t newest = SliceNumber(aNow);
   double requests = 0.0;
@@ -53,9 +53,9 @@
   return kUsedFraction * (mOptions.ratio * requests + slackShare) - retries;
 }
 
-bool RetryShare::Take(TimePoint aNow, const ServiceId& aService)
+bool RetryShare::TakeRetry(TimePoint aNow, const ServiceId& aService)
 {
-  if (Left(aNow, aService) < 1.0) {
+  if (RemainingRetries(aNow, aService) < 1.0) {
     return false;
   }
   ++CurrentSlice(aNow, aService).retries;
--- a/src/decision/fleet/retry_share.h
+++ b/src/decision/fleet/retry_share.h
@@ -27,11 +27,11 @@
   void SetOptions(const RetryShareOptions& aOptions) { mOptions = aOptions; }
 
   /* Records a request, which raises the limit. */
-  void NoteRequest(TimePoint aNow, const ServiceId& aService);
+  void RecordRequest(TimePoint aNow, const ServiceId& aService);
   /* Records one retry and returns true, or returns false if the share is used up. */
-  bool Take(TimePoint aNow, const ServiceId& aService);
+  bool TakeRetry(TimePoint aNow, const ServiceId& aService);
   /* Returns the number of retries that the daemon may still make now. Negative above the limit. */
-  double Left(TimePoint aNow, const ServiceId& aService) const;
+  double RemainingRetries(TimePoint aNow, const ServiceId& aService) const;
 
 private:
   /* The window is counted in slices, with one slice more than the window has, so that the counts
--- a/src/decision/fleet/runner_registry.cpp
+++ b/src/decision/fleet/runner_registry.cpp
@@ -63,14 +63,16 @@
   });
 }
 
-void RunnerRegistry::NoteStart(const EndpointId& aRunner)
+void RunnerRegistry::RecordRequestStart(const EndpointId& aRunner)
 {
   if (const auto found = mRunners.find(aRunner); found != mRunners.end()) {
     ++found->second.inFlight;
   }
 }
 
-void RunnerRegistry::NoteEnd(TimePoint aNow, const EndpointId& aRunner, EndpointSign aSign)
+void RunnerRegistry::RecordRequestEnd(TimePoint aNow,
+                                      const EndpointId& aRunner,
+                                      EndpointOutcome aSign)
 {
   const auto found = mRunners.find(aRunner);
   if (found == mRunners.end()) {
@@ -78,10 +80,12 @@
   }
   KnownRunner& runner = found->second;
   runner.inFlight -= std::min<std::uint32_t>(runner.inFlight, 1);
-  runner.health.Note(aNow, aSign);
+  runner.health.Record(aNow, aSign);
 }
 
-void RunnerRegistry::NoteLoad(TimePoint aNow, const EndpointId& aRunner, const StatedLoad& aLoad)
+void RunnerRegistry::RecordLoad(TimePoint aNow,
+                                const EndpointId& aRunner,
+                                const EndpointLoad& aLoad)
 {
   if (const auto found = mRunners.find(aRunner); found != mRunners.end()) {
     found->second.load = aLoad;
@@ -107,7 +111,7 @@
   if (aRunner.entry.state == RunnerState::kDraining) {
     return Exclusion::kLeaving;
   }
-  return aRunner.health.IsDoubted(aNow) ? Exclusion::kAvoided : Exclusion::kNone;
+  return aRunner.health.IsAvoided(aNow) ? Exclusion::kAvoided : Exclusion::kNone;
 }
 
 std::optional<EndpointId> RunnerRegistry::Choose(TimePoint aNow, const EndpointQuery& aQuery) const
--- a/src/decision/fleet/runner_registry.h
+++ b/src/decision/fleet/runner_registry.h
@@ -25,7 +25,7 @@
   TimePoint changedAt{};                 ///< When the last entry arrived.
   std::optional<TimePoint> missingSince; ///< Since when the endpoint has no entry.
   std::uint32_t inFlight = 0;            ///< Requests of this daemon in flight at the endpoint.
-  StatedLoad load;
+  EndpointLoad load;
   TimePoint loadReportedAt{}; ///< When the endpoint reported the load.
   EndpointHealth health;
 };
@@ -57,14 +57,14 @@
   /* Records that a runner's entry is no longer in the store. */
   void Remove(TimePoint aNow, const EndpointId& aRunner);
   /* Records that the store is reachable again after an outage. */
-  void OnStoreRegained(TimePoint aNow) { mStoreReachableSince = aNow; }
-  void OnStoreLost() { mStoreReachableSince.reset(); }
+  void OnStoreReachable(TimePoint aNow) { mStoreReachableSince = aNow; }
+  void OnStoreUnreachable() { mStoreReachableSince.reset(); }
 
   /* Record the start and the end of a request at a runner. */
-  void NoteStart(const EndpointId& aRunner);
-  void NoteEnd(TimePoint aNow, const EndpointId& aRunner, EndpointSign aSign);
+  void RecordRequestStart(const EndpointId& aRunner);
+  void RecordRequestEnd(TimePoint aNow, const EndpointId& aRunner, EndpointOutcome aSign);
   /* Records the load that a runner reported. */
-  void NoteLoad(TimePoint aNow, const EndpointId& aRunner, const StatedLoad& aLoad);
+  void RecordLoad(TimePoint aNow, const EndpointId& aRunner, const EndpointLoad& aLoad);
 
   /* Returns whether a runner may get new requests, and if not, why. */
   Exclusion Check(TimePoint aNow, const KnownRunner& aRunner) const;
--- a/src/decision/fleet/runner_type.h
+++ b/src/decision/fleet/runner_type.h
@@ -27,7 +27,7 @@
 struct RunnerHoldings
 {
   std::map<ModelId, std::set<AdapterId>> models; ///< Loaded models with their loaded adapters.
-  std::set<ModelRef> arriving;                   ///< Adapters that are being loaded.
+  std::set<ModelRef> loadingAdapters;            ///< Adapters that are being loaded.
   std::set<ModelId> inHostMemory;
   std::set<ModelId> onDisk;
 
@@ -71,7 +71,7 @@
 };
 
 /* The load that an endpoint reports in the header of an answer. */
-struct StatedLoad
+struct EndpointLoad
 {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
--- a/src/decision/fleet/pace.h
+++ b/src/decision/fleet/service_time_tracker.h
@@ -1,6 +1,6 @@
 /* Tracks how fast each model runs, by the times from sending a request to its first event. */
-#ifndef RHUBARBTRAIL_DECISION_FLEET_PACE_H
-#define RHUBARBTRAIL_DECISION_FLEET_PACE_H
+#ifndef RHUBARBTRAIL_DECISION_FLEET_SERVICE_TIME_TRACKER_H
+#define RHUBARBTRAIL_DECISION_FLEET_SERVICE_TIME_TRACKER_H
 
 #include "core/id_type.h"
 #include "core/unit_type.h"
@@ -14,7 +14,7 @@
 /* Keeps one factor for each model by which estimated times are multiplied. Larger models run
  * slower, and the configuration does not say by how much. The factor is 1 until the first
  * measurement. */
-class PaceBook
+class ServiceTimeTracker
 {
 public:
   double Factor(const ModelId& aModel) const
@@ -25,7 +25,7 @@
 
   /* Adjusts the model's factor by the expected and the measured time from sending a request to its
    * first event. A measured time of 0 means that there was no event and is ignored. */
-  void Note(const ModelId& aModel, Duration aExpected, Duration aMeasured)
+  void Record(const ModelId& aModel, Duration aExpected, Duration aMeasured)
   {
     if (aMeasured <= Duration::zero()) {
       return;
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -40,7 +40,7 @@
              .incarnation = mOptions.incarnation,
              .address = mOptions.address,
              .spacing = mOptions.leaseSpacing,
-             .headStart = mOptions.headStart })
+             .additionalTakeoverDelay = mOptions.additionalTakeoverDelay })
   , mLink(mServices.loop,
           { .address = mOptions.address },
           { .onMessage = [this](const std::string& aBytes) { OnMessage(aBytes); },
@@ -158,7 +158,7 @@
       mServices.log.Write("lease_unreadable",
                           { { "row_version", row.version.value }, { "reason", lease.error() } });
     }
-    mLease.OnRead(now, lease.value_or(fleet::LeaseRow{}), row.version);
+    mLease.OnRead(now, lease.value_or(fleet::OrderLeaseRow{}), row.version);
     return;
   }
   mLease.OnRead(now, {}, {});
@@ -175,7 +175,7 @@
       for (const auto& row : aResult.answer.rows) {
         if (row.key == kLeaseKey) {
           mLease.OnConflict(
-            now, DecodeLeaseRow(row.value).value_or(fleet::LeaseRow{}), row.version);
+            now, DecodeLeaseRow(row.value).value_or(fleet::OrderLeaseRow{}), row.version);
           return;
         }
       }
@@ -233,7 +233,7 @@
                           { "fence", mLease.fence().value },
                           { "holder", mLease.row().holder } });
   }
-  mServices.dispatcher.SetOrderRight(
+  mServices.dispatcher.SetOrderPermission(
     { .mayOrder = mayOrder, .holder = mOptions.self.str(), .fence = mLease.fence() });
 }
 
@@ -334,11 +334,11 @@
 void FleetMember::RejectPlacementRequest(const DaemonId& aFrom,
                                          const fleet::DispatchMessage& aMessage)
 {
-  const auto* request = std::get_if<fleet::PlacementAsk>(&aMessage);
+  const auto* request = std::get_if<fleet::PlacementRequest>(&aMessage);
   const auto address = mAddresses.find(aFrom);
   if (request != nullptr && address != mAddresses.end()) {
     Send(address->second,
-         fleet::PlacementReply{ .id = request->id, .answer = fleet::PlaceUnknown{} });
+         fleet::PlacementReply{ .id = request->id, .answer = fleet::PlacementUndecided{} });
   }
 }
 
@@ -374,7 +374,7 @@
   if (aMessage.from != aHeartbeat.lease.holder || aHeartbeat.version < mLease.version()) {
     return; // From a former holder that has not yet noticed that it lost the lease.
   }
-  mLease.OnHolderHeard(now, aHeartbeat.lease, aHeartbeat.version, aHeartbeat.state);
+  mLease.OnHolderHeartbeat(now, aHeartbeat.lease, aHeartbeat.version, aHeartbeat.state);
   ApplyLeaseState();
   if (isDispatcher()) {
     return;
@@ -421,7 +421,7 @@
   }
 }
 
-bool FleetMember::ToDispatcher(const fleet::DispatchMessage& aMessage)
+bool FleetMember::SendToDispatcher(const fleet::DispatchMessage& aMessage)
 {
   if (isDispatcher()) {
     HandleDispatchMessage(mOptions.self, aMessage);
@@ -438,14 +438,14 @@
                                         const fleet::DispatchMessage& aMessage)
 {
   const TimePoint now = BootTime();
-  std::visit(Overloaded{ [&](const fleet::PlacementAsk& aRequest) {
-                          mServices.dispatcher.OnAsk(now, aRequest, ZoneOf(aFrom));
+  std::visit(Overloaded{ [&](const fleet::PlacementRequest& aRequest) {
+                          mServices.dispatcher.OnPlacementRequest(now, aRequest, ZoneOf(aFrom));
                         },
-                         [&](const fleet::PlaceReleased& aReleased) {
-                           mServices.dispatcher.OnReleased(now, aReleased);
+                         [&](const fleet::AssignmentReleased& aReleased) {
+                           mServices.dispatcher.OnAssignmentReleased(now, aReleased);
                          },
-                         [&](const fleet::PlaceInUse& aAssignment) {
-                           mServices.dispatcher.OnPlaceInUse(now, aAssignment);
+                         [&](const fleet::AssignmentInUse& aAssignment) {
+                           mServices.dispatcher.OnAssignmentInUse(now, aAssignment);
                          } },
              aMessage);
   ScheduleDispatcherTick();
@@ -480,7 +480,7 @@
   for (const auto& action : mServices.dispatcher.Tick(now)) {
     Execute(action);
   }
-  const Duration pause = std::max(mServices.dispatcher.nextWake() - BootTime(),
+  const Duration pause = std::max(mServices.dispatcher.nextTickAt() - BootTime(),
                                   Duration{ std::chrono::milliseconds{ 1 } });
   mDispatcherTimer.expires_after(pause);
   mDispatcherTimer.async_wait([this](boost::system::error_code aError) {
@@ -494,8 +494,8 @@
 {
   std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { SendReply(aReply); },
                          [this](const fleet::RunnerOrder& aOrder) { SendOrder(aOrder); },
-                         [this](const fleet::ReportWanted& aWanted) { FetchReport(aWanted); },
-                         [this](const fleet::DispatchNote& aNote) {
+                         [this](const fleet::ReportRequest& aWanted) { FetchReport(aWanted); },
+                         [this](const fleet::DispatchLogRecord& aNote) {
                            mServices.log.Write(aNote.event,
                                                { { "id", aNote.request },
                                                  { "endpoint", aNote.runner },
@@ -554,8 +554,8 @@
                                                 ? fleet::OrderOutcome::kNotSent
                                               : *status == 0 ? fleet::OrderOutcome::kUnknown
                                                              : platform::DecodeOrderAnswer(*status);
-          const bool isExpected =
-            outcome == fleet::OrderOutcome::kAccepted || outcome == fleet::OrderOutcome::kHolds;
+          const bool isExpected = outcome == fleet::OrderOutcome::kAccepted ||
+                                  outcome == fleet::OrderOutcome::kAlreadyDone;
           mServices.log.Write(isExpected ? "order_answered" : "order_refused",
                               { { "endpoint", order.runner },
                                 { "model", order.subject.model },
@@ -569,7 +569,7 @@
         } });
 }
 
-void FleetMember::FetchReport(const fleet::ReportWanted& aWanted)
+void FleetMember::FetchReport(const fleet::ReportRequest& aWanted)
 {
   struct Progress
   {
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -28,7 +28,8 @@
   ZoneId zone;
   std::string address;        ///< host:port on which this daemon takes messages of other daemons.
   Duration leaseSpacing = 3s; ///< Minimum time between the orders of two successive holders.
-  Duration headStart{};       ///< Extra time that this host waits before it takes the lease.
+  Duration
+    additionalTakeoverDelay{}; ///< Extra time that this host waits before it takes the lease.
 };
 
 /* Parts of the daemon that FleetMember uses. The references must outlive it. */
@@ -62,17 +63,17 @@
 
   /* Sends a message to the dispatcher, or handles it here if this daemon is the dispatcher. Returns
    * false if no dispatcher is known to be alive. */
-  bool ToDispatcher(const fleet::DispatchMessage& aMessage);
+  bool SendToDispatcher(const fleet::DispatchMessage& aMessage);
   /* Notifies the other daemons, through the dispatcher, of a request that is suspected of crashing
    * runners or has been cleared. Does nothing if no dispatcher is known to be alive. */
   void ReportSuspect(const SuspectMessage& aMessage);
   /* Schedules a dispatcher tick after its input has changed, for example the configuration or a
    * runner's entry. Does nothing on a daemon that is not the dispatcher. */
-  void OnChange() { ScheduleDispatcherTick(); }
+  void OnDispatcherInputChanged() { ScheduleDispatcherTick(); }
 
   bool isDispatcher() const { return mLease.isHolder(); }
   bool HasDispatcher() const { return isDispatcher() || mHasRemoteDispatcher; }
-  const fleet::LeaseRow& lease() const { return mLease.row(); }
+  const fleet::OrderLeaseRow& lease() const { return mLease.row(); }
   std::size_t memberCount() const { return mMembers.size(); }
 
 private:
@@ -114,7 +115,7 @@
   void Execute(const fleet::DispatchAction& aAction);
   void SendReply(const fleet::PlacementReply& aReply);
   void SendOrder(const fleet::RunnerOrder& aOrder);
-  void FetchReport(const fleet::ReportWanted& aWanted);
+  void FetchReport(const fleet::ReportRequest& aWanted);
   ZoneId ZoneOf(const DaemonId& aDaemon) const;
 
   FleetMemberServices mServices;
@@ -126,8 +127,9 @@
   std::map<DaemonId, Member> mMembers;
   std::map<DaemonId, std::string> mAddresses; ///< Of all daemons that have ever sent a hello.
   bool mHasRemoteDispatcher = false; ///< Another daemon is the dispatcher; its heartbeats arrive.
-  fleet::LeaseRow mDispatcherLease;  ///< From its last heartbeat; messages go to the address in it.
-  TimePoint mLastHeartbeatAt{};      ///< When its last heartbeat arrived.
+  fleet::OrderLeaseRow
+    mDispatcherLease;           ///< From its last heartbeat; messages go to the address in it.
+  TimePoint mLastHeartbeatAt{}; ///< When its last heartbeat arrived.
   TimePoint mNextHeartbeatAt{};
   TimePoint mNextHelloAt{};
   std::string mLoggedHolder; ///< Holder and incarnation in the last holder_changed log line.
--- a/src/fleet/fleet_message.cpp
+++ b/src/fleet/fleet_message.cpp
@@ -13,43 +13,43 @@
 using Json = nlohmann::json;
 using namespace fleet;
 
-Json ToJson(const LeaseRow& aRow)
+Json ToJson(const OrderLeaseRow& aRow)
 {
   return { { "holder", aRow.holder.str() },
            { "incarnation", aRow.incarnation.str() },
            { "address", aRow.address },
-           { "waited", aRow.hasWaited },
+           { "waited", aRow.isOrderWaitOver },
            { "renewals", aRow.renewals } };
 }
 
-LeaseRow LeaseFrom(const Json& aJson)
+OrderLeaseRow LeaseFrom(const Json& aJson)
 {
   return { .holder = DaemonId{ aJson.at("holder").get<std::string>() },
            .incarnation = IncarnationId{ aJson.at("incarnation").get<std::string>() },
            .address = aJson.at("address").get<std::string>(),
-           .hasWaited = aJson.at("waited").get<bool>(),
+           .isOrderWaitOver = aJson.at("waited").get<bool>(),
            .renewals = aJson.at("renewals").get<std::uint64_t>() };
 }
 
-Json ToJson(const AskId& aId)
+Json ToJson(const PlacementRequestId& aId)
 {
   return { { "daemon", aId.daemon.str() }, { "number", aId.number } };
 }
 
-AskId PlacementRequestIdFrom(const Json& aJson)
+PlacementRequestId PlacementRequestIdFrom(const Json& aJson)
 {
   return { .daemon = DaemonId{ aJson.at("daemon").get<std::string>() },
            .number = aJson.at("number").get<std::uint64_t>() };
 }
 
-Json ToJson(const PlacementAsk& aRequest)
+Json ToJson(const PlacementRequest& aRequest)
 {
   Json parts = Json::array();
   for (const PromptPart& part : aRequest.work.parts) {
     parts.push_back({ part.id, part.tokens });
   }
   Json excluded = Json::array();
-  for (const EndpointId& endpoint : aRequest.excluded) {
+  for (const EndpointId& endpoint : aRequest.failedRunners) {
     excluded.push_back(endpoint.str());
   }
   return { { "id", ToJson(aRequest.id) },
@@ -62,15 +62,15 @@
            { "output", aRequest.work.outputTokens },
            { "parts", std::move(parts) },
            { "priority", aRequest.priority },
-           { "objective", aRequest.objective.count() },
+           { "objective", aRequest.latencyObjective.count() },
            { "left", aRequest.timeLeft.count() },
            { "resumable", aRequest.isResumable },
            { "excluded", std::move(excluded) } };
 }
 
-PlacementAsk PlacementRequestFrom(const Json& aJson)
+PlacementRequest PlacementRequestFrom(const Json& aJson)
 {
-  PlacementAsk request{
+  PlacementRequest request{
     .id = PlacementRequestIdFrom(aJson.at("id")),
     .requestId = aJson.at("request").get<std::string>(),
     .route = aJson.at("route").get<std::string>(),
@@ -81,17 +81,17 @@
               .outputTokens = aJson.at("output").get<std::uint32_t>(),
               .parts = {} },
     .priority = aJson.at("priority").get<std::uint32_t>(),
-    .objective = Duration{ aJson.at("objective").get<Duration::rep>() },
+    .latencyObjective = Duration{ aJson.at("objective").get<Duration::rep>() },
     .timeLeft = Duration{ aJson.at("left").get<Duration::rep>() },
     .isResumable = aJson.at("resumable").get<bool>(),
-    .excluded = {},
+    .failedRunners = {},
   };
   for (const Json& part : aJson.at("parts")) {
     request.work.parts.push_back(
       { .id = part.at(0).get<std::uint64_t>(), .tokens = part.at(1).get<std::uint32_t>() });
   }
   for (const Json& endpoint : aJson.at("excluded")) {
-    request.excluded.emplace_back(endpoint.get<std::string>());
+    request.failedRunners.emplace_back(endpoint.get<std::string>());
   }
   return request;
 }
@@ -100,24 +100,26 @@
 {
   Json json{ { "id", ToJson(aReply.id) } };
   std::visit(
-    Overloaded{ [&](const PlaceGranted& aAssigned) { json["runner"] = aAssigned.runner.str(); },
-                [&](const PlaceRefused& aRefused) {
+    Overloaded{ [&](const RunnerAssigned& aAssigned) { json["runner"] = aAssigned.runner.str(); },
+                [&](const PlacementRefused& aRefused) {
                   json["code"] = static_cast<int>(aRefused.code);
                   json["retry"] = aRefused.retryAfter.count();
                 },
-                [](const PlaceUnknown&) {} },
+                [](const PlacementUndecided&) {} },
     aReply.answer);
   return json;
 }
 
 PlacementReply ReplyFrom(const Json& aJson)
 {
-  PlacementReply reply{ .id = PlacementRequestIdFrom(aJson.at("id")), .answer = PlaceUnknown{} };
+  PlacementReply reply{ .id = PlacementRequestIdFrom(aJson.at("id")),
+                        .answer = PlacementUndecided{} };
   if (aJson.contains("runner")) {
-    reply.answer = PlaceGranted{ EndpointId{ aJson.at("runner").get<std::string>() } };
+    reply.answer = RunnerAssigned{ EndpointId{ aJson.at("runner").get<std::string>() } };
   } else if (aJson.contains("code")) {
-    reply.answer = PlaceRefused{ .code = static_cast<ResultCode>(aJson.at("code").get<int>()),
-                                 .retryAfter = Duration{ aJson.at("retry").get<Duration::rep>() } };
+    reply.answer =
+      PlacementRefused{ .code = static_cast<ResultCode>(aJson.at("code").get<int>()),
+                        .retryAfter = Duration{ aJson.at("retry").get<Duration::rep>() } };
   }
   return reply;
 }
@@ -142,18 +144,18 @@
                                { "request", aSuspect.request.str() },
                                { "cleared", aSuspect.isCleared } };
                 },
-                [](const PlacementAsk& aRequest) {
+                [](const PlacementRequest& aRequest) {
                   return Json{ { "kind", "ask" }, { "ask", ToJson(aRequest) } };
                 },
-                [](const PlaceReleased& aReleased) {
+                [](const AssignmentReleased& aReleased) {
                   return Json{ { "kind", "released" },
                                { "id", ToJson(aReleased.id) },
                                { "end", static_cast<int>(aReleased.end) },
-                               { "first", aReleased.firstEvent.count() } };
+                               { "first", aReleased.timeToFirstEvent.count() } };
                 },
-                [](const PlaceInUse& aAssignment) {
+                [](const AssignmentInUse& aAssignment) {
                   return Json{ { "kind", "in_use" },
-                               { "ask", ToJson(aAssignment.ask) },
+                               { "ask", ToJson(aAssignment.request) },
                                { "runner", aAssignment.runner.str() } };
                 },
                 [](const PlacementReply& aReply) {
@@ -185,13 +187,14 @@
     return PlacementRequestFrom(aJson.at("ask"));
   }
   if (kind == "released") {
-    return PlaceReleased{ .id = PlacementRequestIdFrom(aJson.at("id")),
-                          .end = static_cast<PlaceEnd>(aJson.at("end").get<int>()),
-                          .firstEvent = Duration{ aJson.value("first", Duration::rep{ 0 }) } };
+    return AssignmentReleased{ .id = PlacementRequestIdFrom(aJson.at("id")),
+                               .end = static_cast<AssignmentEnd>(aJson.at("end").get<int>()),
+                               .timeToFirstEvent =
+                                 Duration{ aJson.value("first", Duration::rep{ 0 }) } };
   }
   if (kind == "in_use") {
-    return PlaceInUse{ .ask = PlacementRequestFrom(aJson.at("ask")),
-                       .runner = EndpointId{ aJson.at("runner").get<std::string>() } };
+    return AssignmentInUse{ .request = PlacementRequestFrom(aJson.at("ask")),
+                            .runner = EndpointId{ aJson.at("runner").get<std::string>() } };
   }
   if (kind == "reply") {
     return ReplyFrom(aJson.at("reply"));
@@ -221,12 +224,12 @@
   }
 }
 
-std::string EncodeLeaseRow(const LeaseRow& aRow)
+std::string EncodeLeaseRow(const OrderLeaseRow& aRow)
 {
   return ToJson(aRow).dump();
 }
 
-tl::expected<LeaseRow, std::string> DecodeLeaseRow(const std::string& aText)
+tl::expected<OrderLeaseRow, std::string> DecodeLeaseRow(const std::string& aText)
 {
   try {
     return LeaseFrom(Json::parse(aText));
--- a/src/fleet/fleet_message.h
+++ b/src/fleet/fleet_message.h
@@ -24,7 +24,7 @@
 /* Heartbeat of the dispatcher, which is the holder of the order lease, to its members. */
 struct HolderHeartbeatMessage
 {
-  fleet::LeaseRow lease;
+  fleet::OrderLeaseRow lease;
   RowVersion version; ///< Of the lease row.
   fleet::HolderState state = fleet::HolderState::kRenewing;
   std::uint32_t daemons = 1; ///< Daemons known to the dispatcher, itself included.
@@ -41,9 +41,9 @@
 using FleetBody = std::variant<HelloMessage,
                                HolderHeartbeatMessage,
                                SuspectMessage,
-                               fleet::PlacementAsk,
-                               fleet::PlaceReleased,
-                               fleet::PlaceInUse,
+                               fleet::PlacementRequest,
+                               fleet::AssignmentReleased,
+                               fleet::AssignmentInUse,
                                fleet::PlacementReply>;
 
 struct FleetMessage
@@ -59,8 +59,8 @@
 tl::expected<FleetMessage, std::string> DecodeFleetMessage(const std::string& aBytes);
 
 /* Encodes the lease row as JSON, the form in which the store keeps it. */
-std::string EncodeLeaseRow(const fleet::LeaseRow& aRow);
-tl::expected<fleet::LeaseRow, std::string> DecodeLeaseRow(const std::string& aText);
+std::string EncodeLeaseRow(const fleet::OrderLeaseRow& aRow);
+tl::expected<fleet::OrderLeaseRow, std::string> DecodeLeaseRow(const std::string& aText);
 
 } // namespace rhubarbtrail
 
--- a/src/fleet/table_feed.cpp
+++ b/src/fleet/table_feed.cpp
@@ -129,8 +129,8 @@
   mVersion = std::max(mVersion, aResult.answer.newest);
   mHandlers.onSynced();
   const Duration passed = BootTime() - mWatchStartedAt;
-  if (passed < mOptions.interval) {
-    RunAfter(mOptions.interval - passed, [this] { Watch(); });
+  if (passed < mOptions.minInterval) {
+    RunAfter(mOptions.minInterval - passed, [this] { Watch(); });
   } else {
     Watch();
   }
@@ -158,7 +158,7 @@
   if (mIsStoreLost) {
     mIsStoreLost = false;
     mLog.Write("dependency_regained", { { "dependency", "store" }, { "table", mOptions.table } });
-    mHandlers.onRegained();
+    mHandlers.onStoreRecovered();
   }
 }
 
@@ -172,7 +172,7 @@
                  { "table", mOptions.table },
                  { "reason", aResult.reason },
                  { "version", mVersion.value } });
-    mHandlers.onLost();
+    mHandlers.onStoreLost();
   }
   const auto doublings = std::min<std::uint32_t>(mFailures, 4) - 1;
   const Duration backoff = std::min(kInitialBackoff * (1 << doublings), kMaxBackoff);
--- a/src/fleet/table_feed.h
+++ b/src/fleet/table_feed.h
@@ -16,16 +16,17 @@
 {
   std::string table;
   Duration watchTimeout = 2'300ms; ///< How long the store may hold a watch without changes open.
-  Duration interval{};             ///< Minimum time between the starts of two watches.
+  Duration minInterval{};          ///< Minimum time between the starts of two watches.
 };
 
 struct TableFeedHandlers
 {
   std::function<void(const platform::StoreRow&)> onRow; ///< A row is new or has changed.
   std::function<void(const std::string&)> onRemoved;    ///< The row with this key was removed.
-  std::function<void()> onSynced;   ///< All changes in the store's last answer were delivered.
-  std::function<void()> onLost;     ///< A call failed. Not repeated until the store has answered.
-  std::function<void()> onRegained; ///< The store has answered for the first time after onLost.
+  std::function<void()> onSynced;    ///< All changes in the store's last answer were delivered.
+  std::function<void()> onStoreLost; ///< A call failed. Not repeated until the store has answered.
+  std::function<void()>
+    onStoreRecovered; ///< The store has answered for the first time after onStoreLost.
 };
 
 /* Reads the whole table once, then watches it for changes. When the store no longer keeps the
@@ -42,10 +43,10 @@
 
   void Start();
   void Stop();
-  void SetInterval(Duration aInterval) { mOptions.interval = aInterval; }
+  void SetMinInterval(Duration aInterval) { mOptions.minInterval = aInterval; }
 
   bool isSynced() const { return mIsSynced; }
-  bool isLost() const { return mIsStoreLost; }
+  bool isStoreLost() const { return mIsStoreLost; }
   /* Returns the version up to which all changes have been delivered. */
   RowVersion version() const { return mVersion; }
 
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-bool PlacementClient::RequestAssignment(const fleet::PlacementAsk& aRequest, Handler aHandler)
+bool PlacementClient::RequestAssignment(const fleet::PlacementRequest& aRequest, Handler aHandler)
 {
   // Stored before sending, so that even a reply that arrives during the call finds its request.
   mPendingRequests.insert_or_assign(aRequest.id, PendingRequest{ aRequest, std::move(aHandler) });
@@ -21,7 +21,7 @@
   return true;
 }
 
-void PlacementClient::Release(const fleet::PlaceReleased& aReleased)
+void PlacementClient::Release(const fleet::AssignmentReleased& aReleased)
 {
   if (mPendingRequests.erase(aReleased.id) + mAssignments.erase(aReleased.id) > 0) {
     // The result does not matter: a dispatcher that receives no more messages from this daemon
@@ -40,8 +40,9 @@
   }
   const PendingRequest pending = std::move(found->second);
   mPendingRequests.erase(found);
-  if (const auto* granted = std::get_if<fleet::PlaceGranted>(&aReply.answer)) {
-    mAssignments.insert_or_assign(aReply.id, fleet::PlaceInUse{ pending.ask, granted->runner });
+  if (const auto* granted = std::get_if<fleet::RunnerAssigned>(&aReply.answer)) {
+    mAssignments.insert_or_assign(aReply.id,
+                                  fleet::AssignmentInUse{ pending.request, granted->runner });
   }
   pending.handler(aReply);
 }
@@ -54,7 +55,7 @@
   const auto pending = mPendingRequests;
   for (const auto& [id, pendingRequest] : pending) {
     if (mPendingRequests.contains(id)) {
-      mSender(fleet::DispatchMessage{ pendingRequest.ask });
+      mSender(fleet::DispatchMessage{ pendingRequest.request });
     }
   }
 }
@@ -63,7 +64,7 @@
 {
   const auto pending = std::exchange(mPendingRequests, {});
   for (const auto& [id, pendingRequest] : pending) {
-    pendingRequest.handler({ .id = id, .answer = fleet::PlaceUnknown{} });
+    pendingRequest.handler({ .id = id, .answer = fleet::PlacementUndecided{} });
   }
 }
 
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -25,10 +25,10 @@
   /* Requests an assignment. The handler is called once, unless Release() withdraws the request
    * first. Returns false if no dispatcher can be reached. The request is not kept then, and the
    * handler is not called. */
-  bool RequestAssignment(const fleet::PlacementAsk& aRequest, Handler aHandler);
+  bool RequestAssignment(const fleet::PlacementRequest& aRequest, Handler aHandler);
   /* Withdraws a pending placement request, or releases an assignment. Notifies the dispatcher. Does
    * nothing if neither exists. */
-  void Release(const fleet::PlaceReleased& aReleased);
+  void Release(const fleet::AssignmentReleased& aReleased);
 
   /* Handles a reply of the dispatcher. */
   void OnReply(const fleet::PlacementReply& aReply);
@@ -38,18 +38,18 @@
   /* No dispatcher can be reached: answers all pending placement requests with PlaceUnknown. */
   void OnDispatcherLost();
 
-  std::size_t openQuestions() const { return mPendingRequests.size(); }
+  std::size_t pendingRequestCount() const { return mPendingRequests.size(); }
 
 private:
   struct PendingRequest
   {
-    fleet::PlacementAsk ask;
+    fleet::PlacementRequest request;
     Handler handler;
   };
 
   Sender mSender;
-  std::map<fleet::AskId, PendingRequest> mPendingRequests;
-  std::map<fleet::AskId, fleet::PlaceInUse> mAssignments;
+  std::map<fleet::PlacementRequestId, PendingRequest> mPendingRequests;
+  std::map<fleet::PlacementRequestId, fleet::AssignmentInUse> mAssignments;
 };
 
 } // namespace rhubarbtrail
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -83,21 +83,21 @@
   return XXH3_64bits(aClient.requestId.data(), aClient.requestId.size());
 }
 
-fleet::PlaceEnd AssignmentEndOf(AttemptEnd aEnd)
+fleet::AssignmentEnd AssignmentEndOf(AttemptEnd aEnd)
 {
   switch (aEnd) {
     case AttemptEnd::kAnswered:
-    case AttemptEnd::kFailure:
-      return fleet::PlaceEnd::kDone;
+    case AttemptEnd::kErrorAnswer:
+      return fleet::AssignmentEnd::kDone;
     case AttemptEnd::kNotRun:
-      return fleet::PlaceEnd::kRefused;
+      return fleet::AssignmentEnd::kRefused;
     case AttemptEnd::kNotSent:
-      return fleet::PlaceEnd::kLost;
+      return fleet::AssignmentEnd::kLost;
     case AttemptEnd::kLost:
-    case AttemptEnd::kCutMidway:
-      return fleet::PlaceEnd::kFailed;
+    case AttemptEnd::kBrokenOff:
+      return fleet::AssignmentEnd::kFailed;
   }
-  return fleet::PlaceEnd::kFailed;
+  return fleet::AssignmentEnd::kFailed;
 }
 
 } // namespace
@@ -163,7 +163,7 @@
     return false;
   }
   mFingerprint = Fingerprint(mRequest, mClient);
-  if (mContext.crashes.IsConvicted(mArrivedAt, mFingerprint)) {
+  if (mContext.crashes.IsQuarantined(mArrivedAt, mFingerprint)) {
     aReason = "it crashed the endpoints that ran it";
     aCode = ResultCode::kEndpointUnavailable;
     return false;
@@ -182,7 +182,7 @@
   mAttemptState = { .maxAttempts = mRoute->maxAttempts,
                     .kind = mRoute->kind,
                     .isResumable = mRoute->kind == RouteKind::kStream && mRoute->isResumable };
-  mContext.retries.NoteRequest(mArrivedAt, mService);
+  mContext.retries.RecordRequest(mArrivedAt, mService);
   mResponder->OnGone([self = shared_from_this()] { self->OnClientGone(); });
   mDeadlineTimer.expires_after(timeLeft);
   mDeadlineTimer.async_wait([self = shared_from_this()](boost::system::error_code aError) {
@@ -229,8 +229,8 @@
 Duration RequestFlow::ClientTimeout() const
 {
   return std::max({ kMinClientTimeout,
-                    mRoute->objective * kClientTimeoutObjectives,
-                    mRoute->pauseObjective * kClientTimeoutPauses });
+                    mRoute->latencyObjective * kClientTimeoutObjectives,
+                    mRoute->eventGapObjective * kClientTimeoutPauses });
 }
 
 void RequestFlow::SelectEndpoint()
@@ -244,18 +244,20 @@
 
 void RequestFlow::SelectByDispatcher()
 {
-  const fleet::AskId id{ .daemon = mContext.self, .number = mContext.nextPlacementNumber++ };
-  fleet::PlacementAsk placementRequest{
+  const fleet::PlacementRequestId id{ .daemon = mContext.self,
+                                      .number = mContext.nextPlacementNumber++ };
+  fleet::PlacementRequest placementRequest{
     .id = id,
     .requestId = mClient.requestId,
     .route = mRoute->name,
     .service = mService,
     .work = *mClient.work,
     .priority = mRoute->priority,
-    .objective = std::max(mRoute->objective - (BootTime() - mArrivedAt), Duration::zero()),
+    .latencyObjective =
+      std::max(mRoute->latencyObjective - (BootTime() - mArrivedAt), Duration::zero()),
     .timeLeft = std::min(TimeLeft(), ClientTimeout() - (BootTime() - mArrivedAt)),
     .isResumable = mAttemptState.isResumable,
-    .excluded = { mFailedEndpoints.begin(), mFailedEndpoints.end() },
+    .failedRunners = { mFailedEndpoints.begin(), mFailedEndpoints.end() },
   };
   mPlacementId = id;
   const bool isRequested = mContext.placement.RequestAssignment(
@@ -275,10 +277,10 @@
   if (mIsEnded) {
     return;
   }
-  std::visit(Overloaded{ [&](const fleet::PlaceGranted& aAssigned) {
+  std::visit(Overloaded{ [&](const fleet::RunnerAssigned& aAssigned) {
                           SendToEndpoint(aAssigned.runner, "dispatched");
                         },
-                         [&](const fleet::PlaceRefused& aRefused) {
+                         [&](const fleet::PlacementRefused& aRefused) {
                            mPlacementId.reset();
                            if (mAttemptState.runs == 0) {
                              Refuse(aRefused.code, aRefused.retryAfter, "refused_by_dispatcher");
@@ -286,7 +288,7 @@
                              Fail(ResultCode::kAttemptsExhausted, "no_place_for_next_attempt");
                            }
                          },
-                         [&](const fleet::PlaceUnknown&) {
+                         [&](const fleet::PlacementUndecided&) {
                            mPlacementId.reset();
                            SelectLocally("dispatcher_lost");
                          } },
@@ -341,10 +343,10 @@
     return left; // The request cannot be repeated, so an earlier time-out would gain nothing.
   }
   const bool isLastAttempt = mAttemptState.runs + 1 >= mAttemptState.maxAttempts;
-  return isLastAttempt
-           ? left
-           : std::min(left,
-                      std::max(mRoute->objective * kAnswerTimeoutObjectives, kMinAnswerTimeout));
+  return isLastAttempt ? left
+                       : std::min(left,
+                                  std::max(mRoute->latencyObjective * kAnswerTimeoutObjectives,
+                                           kMinAnswerTimeout));
 }
 
 void RequestFlow::SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason)
@@ -355,12 +357,12 @@
     runner == nullptr ? fleet::Exclusion::kGone : mContext.runners.Check(now, *runner);
   const bool isRepeat = mAttemptState.runs + mAttemptState.refusals > 0;
   if (exclusion == fleet::Exclusion::kGone || exclusion == fleet::Exclusion::kLeaving) {
-    ReleaseAssignment(fleet::PlaceEnd::kLost);
+    ReleaseAssignment(fleet::AssignmentEnd::kLost);
     WaitForEndpoint();
     return;
   }
-  if (isRepeat && !mContext.retries.Take(now, mService)) {
-    ReleaseAssignment(fleet::PlaceEnd::kWithdrawn);
+  if (isRepeat && !mContext.retries.TakeRetry(now, mService)) {
+    ReleaseAssignment(fleet::AssignmentEnd::kWithdrawn);
     if (mAttemptState.runs == 0) {
       Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "retry_share_spent");
     } else if (mIsHeadSent) {
@@ -373,7 +375,7 @@
   mAttempt = {};
   mAttempt.endpoint = aEndpoint;
   mAttempt.startedAt = now;
-  mContext.runners.NoteStart(aEndpoint);
+  mContext.runners.RecordRequestStart(aEndpoint);
   mContext.metrics.Count(isRepeat ? Counter::kRetries : Counter::kAttempts);
   mContext.log.Write("request_sent",
                      { { "id", mClient.requestId },
@@ -395,8 +397,8 @@
     .reuse = mayRepeat ? http::Reuse::kAllowed : http::Reuse::kFresh,
     .connectTime = kConnectTimeout,
     .answerTime = AnswerTimeout(),
-    .silenceTime = mAttemptState.isResumable && mRoute->pauseObjective > Duration::zero()
-                     ? mRoute->pauseObjective * kStreamTimeoutPauses
+    .silenceTime = mAttemptState.isResumable && mRoute->eventGapObjective > Duration::zero()
+                     ? mRoute->eventGapObjective * kStreamTimeoutPauses
                      : Duration::zero(),
   };
   const auto weak = weak_from_this();
@@ -427,7 +429,7 @@
     return false;
   }
   if (decodedHead.load) {
-    mContext.runners.NoteLoad(BootTime(), mAttempt.endpoint, *decodedHead.load);
+    mContext.runners.RecordLoad(BootTime(), mAttempt.endpoint, *decodedHead.load);
   }
   const bool isSuccess = aHead.status >= 200 && aHead.status < 300;
   mAttempt.isInvalid = !decodedHead.isNotRun && (!decodedHead.isSigned || decodedHead.isEncoded);
@@ -507,14 +509,14 @@
     return AttemptEnd::kNotRun;
   }
   if (aResult != http::CallResult::kComplete || !mAttempt.head || mAttempt.isInvalid) {
-    return mIsHeadSent ? AttemptEnd::kCutMidway : AttemptEnd::kLost;
+    return mIsHeadSent ? AttemptEnd::kBrokenOff : AttemptEnd::kLost;
   }
   const bool isServerError = mAttempt.head->status >= kFirstServerError;
   if (mIsHeadSent && !mAttempt.isStream) {
     // The client has a part of a stream, and the endpoint that was to resume it answered otherwise.
-    return AttemptEnd::kCutMidway;
+    return AttemptEnd::kBrokenOff;
   }
-  return isServerError ? AttemptEnd::kFailure : AttemptEnd::kAnswered;
+  return isServerError ? AttemptEnd::kErrorAnswer : AttemptEnd::kAnswered;
 }
 
 void RequestFlow::OnEnd(http::CallResult aResult)
@@ -527,28 +529,28 @@
   const TimePoint now = BootTime();
   switch (end) {
     case AttemptEnd::kAnswered:
-      mContext.runners.NoteEnd(now, mAttempt.endpoint, fleet::EndpointSign::kGood);
-      if (mContext.crashes.NoteAnswer(mFingerprint)) {
+      mContext.runners.RecordRequestEnd(now, mAttempt.endpoint, fleet::EndpointOutcome::kSucceeded);
+      if (mContext.crashes.RecordAnswer(mFingerprint)) {
         mContext.onCleared(mFingerprint);
       }
       break;
-    case AttemptEnd::kFailure:
+    case AttemptEnd::kErrorAnswer:
     case AttemptEnd::kLost:
-    case AttemptEnd::kCutMidway:
-      mContext.runners.NoteEnd(now, mAttempt.endpoint, fleet::EndpointSign::kFailed);
+    case AttemptEnd::kBrokenOff:
+      mContext.runners.RecordRequestEnd(now, mAttempt.endpoint, fleet::EndpointOutcome::kFailed);
       if (aResult == http::CallResult::kBroken) {
         ProbeEndpoint();
       }
       break;
     case AttemptEnd::kNotSent:
-      mContext.runners.NoteEnd(now, mAttempt.endpoint, fleet::EndpointSign::kFailed);
+      mContext.runners.RecordRequestEnd(now, mAttempt.endpoint, fleet::EndpointOutcome::kFailed);
       break;
     case AttemptEnd::kNotRun:
-      mContext.runners.NoteEnd(now,
-                               mAttempt.endpoint,
-                               mAttempt.head->status == 421 && !UsesModels()
-                                 ? fleet::EndpointSign::kMisaddressed
-                                 : fleet::EndpointSign::kRefused);
+      mContext.runners.RecordRequestEnd(now,
+                                        mAttempt.endpoint,
+                                        mAttempt.head->status == 421 && !UsesModels()
+                                          ? fleet::EndpointOutcome::kWrongEndpoint
+                                          : fleet::EndpointOutcome::kRefused);
       break;
   }
   ReleaseAssignment(AssignmentEndOf(end));
@@ -581,7 +583,7 @@
                               context.log.Write(
                                 "request_suspected",
                                 { { "id", id }, { "endpoint", endpoint }, { "bytes", request } });
-                              context.crashes.NoteBreak(BootTime(), request);
+                              context.crashes.RecordCrash(BootTime(), request);
                               context.onSuspect(request);
                             } });
 }
@@ -592,7 +594,7 @@
   mAttemptState.runs += hasRun ? 1 : 0;
   mAttemptState.refusals += hasRun ? 0 : 1;
   mAttemptState.timeLeft = TimeLeft();
-  mAttemptState.isConvicted = mContext.crashes.IsConvicted(BootTime(), mFingerprint);
+  mAttemptState.isQuarantined = mContext.crashes.IsQuarantined(BootTime(), mFingerprint);
   if (mRequest.method == "HEAD" && aEnd == AttemptEnd::kAnswered) {
     mAttempt.body.clear();
   }
@@ -613,16 +615,16 @@
                          { "time_left_ms", Milliseconds(mAttemptState.timeLeft) } });
   }
   // If the retry budget allows no other attempt, the client gets the endpoint's own 5xx answer.
-  if (step == NextStep::kTryAgain && aEnd == AttemptEnd::kFailure &&
-      mContext.retries.Left(BootTime(), mService) < 1.0) {
-    step = NextStep::kPassOn;
+  if (step == NextStep::kRetry && aEnd == AttemptEnd::kErrorAnswer &&
+      mContext.retries.RemainingRetries(BootTime(), mService) < 1.0) {
+    step = NextStep::kForwardAnswer;
   }
   switch (step) {
-    case NextStep::kTryAgain:
+    case NextStep::kRetry:
       mEventSplitter.Clear();
       SelectEndpoint();
       break;
-    case NextStep::kPassOn:
+    case NextStep::kForwardAnswer:
       ForwardAnswer();
       break;
     case NextStep::kRefuse:
@@ -631,31 +633,32 @@
     case NextStep::kFail:
       Fail(ResultCode::kAttemptsExhausted, fleet::ToString(aEnd));
       break;
-    case NextStep::kCut:
+    case NextStep::kBreakOffAnswer:
       AbortAnswer(fleet::ToString(aEnd));
       break;
   }
 }
 
-void RequestFlow::ReleaseAssignment(fleet::PlaceEnd aEnd)
+void RequestFlow::ReleaseAssignment(fleet::AssignmentEnd aEnd)
 {
   if (mPlacementId) {
     mContext.placement.Release({ .id = *std::exchange(mPlacementId, std::nullopt),
                                  .end = aEnd,
-                                 .firstEvent = mAttempt.timeToFirstEvent });
+                                 .timeToFirstEvent = mAttempt.timeToFirstEvent });
   }
 }
 
 void RequestFlow::StopAttempt()
 {
   if (!mAttempt.call) {
-    ReleaseAssignment(fleet::PlaceEnd::kWithdrawn);
+    ReleaseAssignment(fleet::AssignmentEnd::kWithdrawn);
     return;
   }
   mAttempt.call->Cancel();
   mAttempt.call.reset();
-  mContext.runners.NoteEnd(BootTime(), mAttempt.endpoint, fleet::EndpointSign::kCancelled);
-  ReleaseAssignment(fleet::PlaceEnd::kDone);
+  mContext.runners.RecordRequestEnd(
+    BootTime(), mAttempt.endpoint, fleet::EndpointOutcome::kCancelled);
+  ReleaseAssignment(fleet::AssignmentEnd::kDone);
 }
 
 void RequestFlow::EndIfWaiting()
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -67,7 +67,7 @@
   fleet::AttemptEnd ClassifyAttempt(http::CallResult aResult) const;
   /* Decides what follows an attempt: another one, the answer, or a failure. */
   void OnAttemptEnded(fleet::AttemptEnd aEnd, std::string_view aResult);
-  void ReleaseAssignment(fleet::PlaceEnd aEnd);
+  void ReleaseAssignment(fleet::AssignmentEnd aEnd);
   /* Connects to the endpoint after its connection broke. If that fails, its process has probably
    * ended, and the request is reported as suspected of crashing runners. */
   void ProbeEndpoint();
@@ -105,7 +105,8 @@
   fleet::AttemptState mAttemptState;
   Attempt mAttempt;
   std::set<EndpointId> mFailedEndpoints;
-  std::optional<fleet::AskId> mPlacementId; ///< Of the pending request or the held assignment.
+  std::optional<fleet::PlacementRequestId>
+    mPlacementId; ///< Of the pending request or the held assignment.
   EventSplitter mEventSplitter;
   std::string mLastEventId; ///< Last event id that was forwarded to the client.
   std::uint32_t mEventsForwarded = 0;
--- a/src/platform/configuration_decoder.cpp
+++ b/src/platform/configuration_decoder.cpp
@@ -30,8 +30,8 @@
   route.kind = DecodeKind(Text(aRoute, "kind"));
   route.isResumable = route.kind == fleet::RouteKind::kStream && FlagOr(aRoute, "resumable", false);
   route.timeout = MillisecondsOf(NumberOr(aRoute, "timeoutMs", 0.0));
-  route.objective = MillisecondsOf(NumberOr(aRoute, "targetLatencyMs", 0.0));
-  route.pauseObjective = MillisecondsOf(NumberOr(aRoute, "gapAimMs", 0.0));
+  route.latencyObjective = MillisecondsOf(NumberOr(aRoute, "targetLatencyMs", 0.0));
+  route.eventGapObjective = MillisecondsOf(NumberOr(aRoute, "gapAimMs", 0.0));
   route.priority = static_cast<std::uint32_t>(WholeOr(aRoute, "priority", 0));
   route.maxAttempts =
     std::max<std::uint32_t>(1, static_cast<std::uint32_t>(WholeOr(aRoute, "maxAttempts", 1)));
@@ -55,9 +55,9 @@
     .weights = { static_cast<std::int64_t>(std::ceil(Number(aModel, "weightsMb"))) },
     .adapterWeights = { static_cast<std::int64_t>(std::ceil(NumberOr(aModel, "adapterMb", 0.0))) },
     .adapters = static_cast<std::uint32_t>(WholeOr(aModel, "adapters", 0)), // A count, not a list.
-    .storeLoad = SecondsOf(storeLoadS),
-    .memoryLoad = SecondsOf(NumberOr(aModel, "warmS", storeLoadS)),
-    .diskLoad = SecondsOf(NumberOr(aModel, "diskS", storeLoadS)),
+    .storeLoadTime = SecondsOf(storeLoadS),
+    .memoryLoadTime = SecondsOf(NumberOr(aModel, "warmS", storeLoadS)),
+    .diskLoadTime = SecondsOf(NumberOr(aModel, "diskS", storeLoadS)),
   };
 }
 
--- a/src/platform/request_headers.h
+++ b/src/platform/request_headers.h
@@ -42,7 +42,7 @@
   bool isSigned = false;  ///< It carries the endpoint's signature.
   bool isNotRun = false;  ///< The endpoint states that it has not run the request.
   bool isEncoded = false; ///< The body is not the endpoint's own.
-  std::optional<fleet::StatedLoad> load;
+  std::optional<fleet::EndpointLoad> load;
 };
 
 EndpointAnswer DecodeEndpointAnswer(const http::AnswerHead& aHead);
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -57,7 +57,7 @@
   }
   if (aObject.contains("coming")) {
     for (const Json& item : List(aObject, "coming")) {
-      holdings.arriving.insert(DecodeArriving(item.get<std::string>()));
+      holdings.loadingAdapters.insert(DecodeArriving(item.get<std::string>()));
     }
   }
   if (const auto copies = aObject.find("atHand"); copies != aObject.end()) {
@@ -182,7 +182,7 @@
     case 202:
       return fleet::OrderOutcome::kAccepted;
     case 200:
-      return fleet::OrderOutcome::kHolds;
+      return fleet::OrderOutcome::kAlreadyDone;
     case 409:
       return fleet::OrderOutcome::kConflict;
     case 412:
--- a/tests/fleet/dispatcher_test.cpp
+++ b/tests/fleet/dispatcher_test.cpp
@@ -78,7 +78,7 @@
 
 TEST_CASE("a load that a former holder has ordered keeps its room")
 {
-  FleetWorld world({ .runners = 1, .models = 6, .storeLoad = 3s, .hasAllOnDisk = false });
+  FleetWorld world({ .runners = 1, .models = 6, .storeLoadTime = 3s, .hasAllOnDisk = false });
   world.Ask("m4");
   world.Run(500ms); // The room has been made and the load is under way.
   REQUIRE(world.runners[0].order.has_value());
@@ -335,7 +335,7 @@
 
 TEST_CASE("load: runners that join empty are filled with what is asked for, before callers wait")
 {
-  FleetWorld world({ .runners = 4, .models = 16, .storeLoad = 3s });
+  FleetWorld world({ .runners = 4, .models = 16, .storeLoadTime = 3s });
   std::uniform_int_distribution<int> model(0, 11);
   const auto ask = [&](Duration aTime) {
     for (const TimePoint end = world.now + aTime; world.now < end;) {
@@ -358,7 +358,7 @@
 
 TEST_CASE("load: cold models are loaded as many at once as the weight store takes at full speed")
 {
-  FleetWorld world({ .runners = 8, .models = 40, .storeLoad = 3s, .hasAllOnDisk = false });
+  FleetWorld world({ .runners = 8, .models = 40, .storeLoadTime = 3s, .hasAllOnDisk = false });
   world.storeLoadsAtOnce = 1; // Each further load slows all of them.
   std::size_t most = 0;
   for (int step = 0; step < 600; ++step) {
--- a/tests/fleet/fleet_message_test.cpp
+++ b/tests/fleet/fleet_message_test.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-const PlacementAsk kAsk{ .id = { .daemon = DaemonId{ "d1" }, .number = 7 },
-                         .requestId = "r1",
-                         .route = "route",
-                         .service = ServiceId{ "s1" },
-                         .work = { .target = { .model = ModelId{ "m1" },
-                                               .adapter = AdapterId{ "a1" } },
-                                   .promptTokens = 1'460,
-                                   .outputTokens = 80,
-                                   .parts = { { .id = 0xffff'ffff'ffff'ffffULL, .tokens = 800 },
-                                              { .id = 2, .tokens = 410 } } },
-                         .priority = 2,
-                         .objective = 600ms,
-                         .timeLeft = 15s,
-                         .isResumable = true,
-                         .excluded = { EndpointId{ "e1" } } };
+const PlacementRequest kAsk{ .id = { .daemon = DaemonId{ "d1" }, .number = 7 },
+                             .requestId = "r1",
+                             .route = "route",
+                             .service = ServiceId{ "s1" },
+                             .work = { .target = { .model = ModelId{ "m1" },
+                                                   .adapter = AdapterId{ "a1" } },
+                                       .promptTokens = 1'460,
+                                       .outputTokens = 80,
+                                       .parts = { { .id = 0xffff'ffff'ffff'ffffULL, .tokens = 800 },
+                                                  { .id = 2, .tokens = 410 } } },
+                             .priority = 2,
+                             .latencyObjective = 600ms,
+                             .timeLeft = 15s,
+                             .isResumable = true,
+                             .failedRunners = { EndpointId{ "e1" } } };
 
 std::string Encode(FleetBody aBody)
 {
@@ -49,37 +49,37 @@
 
 TEST_CASE("every kind of message survives the way there and back")
 {
-  const auto ask = Back<PlacementAsk>(kAsk);
+  const auto ask = Back<PlacementRequest>(kAsk);
   CHECK(ask.id == kAsk.id);
   CHECK(ask.work.target == kAsk.work.target);
   REQUIRE(ask.work.parts.size() == 2);
   CHECK(ask.work.parts[0].id == kAsk.work.parts[0].id);
   CHECK(ask.timeLeft == kAsk.timeLeft);
-  CHECK(ask.excluded == kAsk.excluded);
+  CHECK(ask.failedRunners == kAsk.failedRunners);
 
-  const auto released = Back<PlaceReleased>(
-    PlaceReleased{ .id = kAsk.id, .end = PlaceEnd::kFailed, .firstEvent = 90ms });
-  CHECK(released.end == PlaceEnd::kFailed);
-  CHECK(released.firstEvent == 90ms);
+  const auto released = Back<AssignmentReleased>(
+    AssignmentReleased{ .id = kAsk.id, .end = AssignmentEnd::kFailed, .timeToFirstEvent = 90ms });
+  CHECK(released.end == AssignmentEnd::kFailed);
+  CHECK(released.timeToFirstEvent == 90ms);
 
-  CHECK(Back<PlaceInUse>(PlaceInUse{ .ask = kAsk, .runner = EndpointId{ "e1" } }).runner ==
-        EndpointId{ "e1" });
+  CHECK(Back<AssignmentInUse>(AssignmentInUse{ .request = kAsk, .runner = EndpointId{ "e1" } })
+          .runner == EndpointId{ "e1" });
   const auto granted = Back<PlacementReply>(
-    PlacementReply{ .id = kAsk.id, .answer = PlaceGranted{ EndpointId{ "e2" } } });
-  CHECK(std::get<PlaceGranted>(granted.answer).runner == EndpointId{ "e2" });
+    PlacementReply{ .id = kAsk.id, .answer = RunnerAssigned{ EndpointId{ "e2" } } });
+  CHECK(std::get<RunnerAssigned>(granted.answer).runner == EndpointId{ "e2" });
   const auto refused = Back<PlacementReply>(PlacementReply{
     .id = kAsk.id,
-    .answer = PlaceRefused{ .code = ResultCode::kDeadlineUnreachable, .retryAfter = 1500ms } });
-  CHECK(std::get<PlaceRefused>(refused.answer).retryAfter == 1500ms);
+    .answer = PlacementRefused{ .code = ResultCode::kDeadlineUnreachable, .retryAfter = 1500ms } });
+  CHECK(std::get<PlacementRefused>(refused.answer).retryAfter == 1500ms);
   const auto unknown =
-    Back<PlacementReply>(PlacementReply{ .id = kAsk.id, .answer = PlaceUnknown{} });
-  CHECK(std::holds_alternative<PlaceUnknown>(unknown.answer));
+    Back<PlacementReply>(PlacementReply{ .id = kAsk.id, .answer = PlacementUndecided{} });
+  CHECK(std::holds_alternative<PlacementUndecided>(unknown.answer));
 
-  const LeaseRow lease{ .holder = DaemonId{ "d0" },
-                        .incarnation = IncarnationId{ "i0" },
-                        .address = "10.0.0.1:1",
-                        .hasWaited = true,
-                        .renewals = 9 };
+  const OrderLeaseRow lease{ .holder = DaemonId{ "d0" },
+                             .incarnation = IncarnationId{ "i0" },
+                             .address = "10.0.0.1:1",
+                             .isOrderWaitOver = true,
+                             .renewals = 9 };
   const auto heartbeat = Back<HolderHeartbeatMessage>(HolderHeartbeatMessage{
     .lease = lease, .version = { 12 }, .state = HolderState::kStalled, .daemons = 8 });
   CHECK(heartbeat.lease == lease);
@@ -102,6 +102,6 @@
 
 TEST_CASE("the row of the lease survives the way there and back")
 {
-  const LeaseRow lease{ .holder = DaemonId{ "d0" }, .address = "10.0.0.1:1", .renewals = 3 };
+  const OrderLeaseRow lease{ .holder = DaemonId{ "d0" }, .address = "10.0.0.1:1", .renewals = 3 };
   CHECK(DecodeLeaseRow(EncodeLeaseRow(lease)) == lease);
 }
--- a/tests/fleet/fleet_parts_test.cpp
+++ b/tests/fleet/fleet_parts_test.cpp
@@ -66,9 +66,9 @@
     return aState;
   };
   const std::vector<Case> cases{
-    { "answered", once, kAnswered, kPassOn },
-    { "not sent, first time", with(once, [](auto& s) { s.runs = 0; }), kNotSent, kTryAgain },
-    { "not run, first time", with(once, [](auto& s) { s.runs = 0; }), kNotRun, kTryAgain },
+    { "answered", once, kAnswered, kForwardAnswer },
+    { "not sent, first time", with(once, [](auto& s) { s.runs = 0; }), kNotSent, kRetry },
+    { "not run, first time", with(once, [](auto& s) { s.runs = 0; }), kNotRun, kRetry },
     { "not run, many times",
       with(once,
            [](auto& s) {
@@ -82,9 +82,9 @@
       kNotRun,
       kFail },
     { "lost, once only", once, kLost, kFail },
-    { "failure, once only", once, kFailure, kPassOn },
-    { "lost, idempotent", idempotent, kLost, kTryAgain },
-    { "failure, idempotent", idempotent, kFailure, kTryAgain },
+    { "failure, once only", once, kErrorAnswer, kForwardAnswer },
+    { "lost, idempotent", idempotent, kLost, kRetry },
+    { "failure, idempotent", idempotent, kErrorAnswer, kRetry },
     { "lost, idempotent, no attempts left",
       with(idempotent, [](auto& s) { s.runs = 2; }),
       kLost,
@@ -93,13 +93,13 @@
       with(idempotent, [](auto& s) { s.timeLeft = 5ms; }),
       kLost,
       kFail },
-    { "lost, convicted", with(idempotent, [](auto& s) { s.isConvicted = true; }), kLost, kFail },
-    { "cut midway, once only", once, kCutMidway, kCut },
-    { "cut midway, resumable", resumable, kCutMidway, kTryAgain },
+    { "lost, convicted", with(idempotent, [](auto& s) { s.isQuarantined = true; }), kLost, kFail },
+    { "cut midway, once only", once, kBrokenOff, kBreakOffAnswer },
+    { "cut midway, resumable", resumable, kBrokenOff, kRetry },
     { "cut midway, resumable, no attempts left",
       with(resumable, [](auto& s) { s.runs = 2; }),
-      kCutMidway,
-      kCut },
+      kBrokenOff,
+      kBreakOffAnswer },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -113,7 +113,7 @@
     for (std::uint32_t refusals = 0; refusals <= 6; ++refusals) {
       for (const RouteKind kind :
            { RouteKind::kIdempotent, RouteKind::kNonIdempotent, RouteKind::kStream }) {
-        for (int end = 0; end <= static_cast<int>(AttemptEnd::kCutMidway); ++end) {
+        for (int end = 0; end <= static_cast<int>(AttemptEnd::kBrokenOff); ++end) {
           const AttemptState state{
             .runs = runs, .refusals = refusals, .maxAttempts = 2, .kind = kind, .timeLeft = 1s
           };
@@ -136,10 +136,10 @@
   for (int step = 0; step < 6'000; ++step) { // 60 s, in which all requests want retries.
     now += 10ms;
     if (step % 4 == 0) {
-      share.NoteRequest(now, kService);
+      share.RecordRequest(now, kService);
       requests.push_back(now);
     }
-    if (share.Take(now, kService)) {
+    if (share.TakeRetry(now, kService)) {
       retries.push_back(now);
     }
   }
@@ -159,15 +159,15 @@
 {
   CrashGuard guard;
   const FingerprintId killer{ "k" };
-  guard.NoteBreak(kStart, killer);
-  guard.NoteBreak(kStart + 1s, killer);
-  CHECK_FALSE(guard.IsConvicted(kStart + 1s, killer));
-  guard.NoteBreak(kStart + 2s, killer);
-  CHECK(guard.IsConvicted(kStart + 2s, killer));
-  CHECK_FALSE(guard.IsConvicted(kStart + 2s, FingerprintId{ "other" }));
-  CHECK_FALSE(guard.IsConvicted(kStart + 2s + 2 * kCrashCountLifetime, killer));
-  guard.NoteAnswer(killer);
-  CHECK_FALSE(guard.IsConvicted(kStart + 2s, killer));
+  guard.RecordCrash(kStart, killer);
+  guard.RecordCrash(kStart + 1s, killer);
+  CHECK_FALSE(guard.IsQuarantined(kStart + 1s, killer));
+  guard.RecordCrash(kStart + 2s, killer);
+  CHECK(guard.IsQuarantined(kStart + 2s, killer));
+  CHECK_FALSE(guard.IsQuarantined(kStart + 2s, FingerprintId{ "other" }));
+  CHECK_FALSE(guard.IsQuarantined(kStart + 2s + 2 * kCrashCountLifetime, killer));
+  guard.RecordAnswer(killer);
+  CHECK_FALSE(guard.IsQuarantined(kStart + 2s, killer));
 }
 
 TEST_CASE("an endpoint that fails four in ten is doubted, one that fails one in ten is not")
@@ -178,8 +178,9 @@
     int doubted = 0;
     for (int step = 0; step < 500; ++step) {
       now += 50ms;
-      health.Note(now, step % 10 < failures ? EndpointSign::kFailed : EndpointSign::kGood);
-      doubted += health.IsDoubted(now) ? 1 : 0;
+      health.Record(now,
+                    step % 10 < failures ? EndpointOutcome::kFailed : EndpointOutcome::kSucceeded);
+      doubted += health.IsAvoided(now) ? 1 : 0;
     }
     INFO(failures, " in ten");
     CHECK((doubted > 50) == (failures == 4));
@@ -190,20 +191,20 @@
 {
   EndpointHealth health;
   for (int failure = 0; failure < 10; ++failure) {
-    health.Note(kStart, EndpointSign::kFailed);
+    health.Record(kStart, EndpointOutcome::kFailed);
   }
-  CHECK(health.IsDoubted(kStart + 100ms));
-  CHECK_FALSE(health.IsDoubted(kStart + 5s));
+  CHECK(health.IsAvoided(kStart + 100ms));
+  CHECK_FALSE(health.IsAvoided(kStart + 5s));
 }
 
 TEST_CASE("entries that lapse while the store is away are gone two seconds after its return")
 {
   RunnerRegistry registry;
   registry.Apply(kStart, EntryOf("r1"));
-  registry.OnStoreLost();
+  registry.OnStoreUnreachable();
   registry.Remove(kStart + 1s, EndpointId{ "r1" });
   CHECK(Choose(registry, kStart + 60s).has_value());
-  registry.OnStoreRegained(kStart + 60s);
+  registry.OnStoreReachable(kStart + 60s);
   CHECK(Choose(registry, kStart + 61s).has_value());
   CHECK_FALSE(Choose(registry, kStart + 63s).has_value());
 }
@@ -236,10 +237,10 @@
   RunnerRegistry registry;
   registry.Apply(kStart, EntryOf("r1"));
   registry.Apply(kStart, EntryOf("r2"));
-  registry.NoteLoad(kStart, EndpointId{ "r1" }, { .running = 5, .waiting = 0, .slots = 6 });
+  registry.RecordLoad(kStart, EndpointId{ "r1" }, { .running = 5, .waiting = 0, .slots = 6 });
   CHECK(Choose(registry, kStart) == EndpointId{ "r2" });
   for (int failure = 0; failure < 5; ++failure) {
-    registry.NoteEnd(kStart, EndpointId{ "r2" }, EndpointSign::kFailed);
+    registry.RecordRequestEnd(kStart, EndpointId{ "r2" }, EndpointOutcome::kFailed);
   }
   CHECK(Choose(registry, kStart) == EndpointId{ "r1" });
   registry.Apply(kStart, EntryOf("r1", RunnerState::kDraining));
@@ -250,24 +251,24 @@
 {
   PromptCache cache;
   cache.SetCapacity(1'000);
-  cache.Note(WorkOf("m0", { { 1, 100 }, { 2, 50 } }));
-  CHECK(cache.KeptTokens(WorkOf("m0", { { 1, 100 }, { 2, 50 }, { 3, 10 } })) == 150);
-  CHECK(cache.KeptTokens(WorkOf("m0", { { 2, 50 } })) == 0);
-  CHECK(cache.KeptTokens(WorkOf("m1", { { 1, 100 } })) == 0);
-  cache.Drop(ModelId{ "m0" });
-  CHECK(cache.KeptTokens(WorkOf("m0", { { 1, 100 } })) == 0);
+  cache.Record(WorkOf("m0", { { 1, 100 }, { 2, 50 } }));
+  CHECK(cache.CachedTokens(WorkOf("m0", { { 1, 100 }, { 2, 50 }, { 3, 10 } })) == 150);
+  CHECK(cache.CachedTokens(WorkOf("m0", { { 2, 50 } })) == 0);
+  CHECK(cache.CachedTokens(WorkOf("m1", { { 1, 100 } })) == 0);
+  cache.RemoveModel(ModelId{ "m0" });
+  CHECK(cache.CachedTokens(WorkOf("m0", { { 1, 100 } })) == 0);
 }
 
 TEST_CASE("the least recently used parts yield")
 {
   PromptCache cache;
   cache.SetCapacity(250);
-  cache.Note(WorkOf("m0", { { 1, 100 } }));
-  cache.Note(WorkOf("m0", { { 2, 100 } }));
-  cache.Note(WorkOf("m0", { { 1, 100 } }));
-  cache.Note(WorkOf("m0", { { 3, 100 } }));
-  CHECK(cache.KeptTokens(WorkOf("m0", { { 1, 100 } })) == 100);
-  CHECK(cache.KeptTokens(WorkOf("m0", { { 2, 100 } })) == 0);
+  cache.Record(WorkOf("m0", { { 1, 100 } }));
+  cache.Record(WorkOf("m0", { { 2, 100 } }));
+  cache.Record(WorkOf("m0", { { 1, 100 } }));
+  cache.Record(WorkOf("m0", { { 3, 100 } }));
+  CHECK(cache.CachedTokens(WorkOf("m0", { { 1, 100 } })) == 100);
+  CHECK(cache.CachedTokens(WorkOf("m0", { { 2, 100 } })) == 0);
 }
 
 TEST_CASE("the longest prefix of the host decides")
--- a/tests/fleet/fleet_world.cpp
+++ b/tests/fleet/fleet_world.cpp
@@ -38,9 +38,9 @@
                                  .weights = { kWeights },
                                  .adapterWeights = { kAdapterWeights },
                                  .adapters = options.adapters,
-                                 .storeLoad = options.storeLoad,
-                                 .memoryLoad = options.diskLoad,
-                                 .diskLoad = options.diskLoad });
+                                 .storeLoadTime = options.storeLoadTime,
+                                 .memoryLoadTime = options.diskLoadTime,
+                                 .diskLoadTime = options.diskLoadTime });
   }
   mConfiguration->version = { 1 };
   mConfiguration->services.emplace(kService, Service{ .id = kService, .engine = engine });
@@ -65,7 +65,7 @@
 
 void FleetWorld::SetOrders(bool aMayOrder)
 {
-  dispatcher.SetOrderRight({ .mayOrder = aMayOrder, .holder = "d0", .fence = { mFence } });
+  dispatcher.SetOrderPermission({ .mayOrder = aMayOrder, .holder = "d0", .fence = { mFence } });
 }
 
 void FleetWorld::TakeOver()
@@ -104,14 +104,14 @@
 
 void FleetWorld::Announce(std::size_t aRunner)
 {
-  dispatcher.OnRunner(now, EntryOf(runners[aRunner]));
+  dispatcher.OnRunnerEntry(now, EntryOf(runners[aRunner]));
 }
 
 void FleetWorld::Leave(std::size_t aRunner)
 {
   RunnerEntry entry = EntryOf(runners[aRunner]);
   entry.state = RunnerState::kDraining;
-  dispatcher.OnRunner(now, entry);
+  dispatcher.OnRunnerEntry(now, entry);
 }
 
 std::uint64_t FleetWorld::Ask(const std::string& aModel,
@@ -131,7 +131,7 @@
                               .outputTokens = 170,
                               .parts = { { .id = number, .tokens = 1'000 } } },
                     .priority = aPriority,
-                    .objective = 3s,
+                    .latencyObjective = 3s,
                     .timeLeft = aTimeLeft };
   AskAgain(number);
   return number;
@@ -140,9 +140,9 @@
 /* Sends a question, as daemons do when a runner has refused or the dispatcher is another one. */
 void FleetWorld::AskAgain(std::uint64_t aNumber)
 {
-  PlacementAsk ask = mAsks[aNumber];
+  PlacementRequest ask = mAsks[aNumber];
   ask.timeLeft -= now - outcomes[aNumber].askedAt;
-  dispatcher.OnAsk(now, ask, ZoneId{ "a" });
+  dispatcher.OnPlacementRequest(now, ask, ZoneId{ "a" });
 }
 
 SimRunner& FleetWorld::Find(const EndpointId& aRunner)
@@ -157,7 +157,7 @@
                        .orderCount = aRunner.orderCount,
                        .startedAtMs = aRunner.startedAtMs };
   report.holdings.models = aRunner.models;
-  report.holdings.arriving = aRunner.arriving;
+  report.holdings.loadingAdapters = aRunner.arriving;
   report.holdings.onDisk = aRunner.onDisk;
   return report;
 }
@@ -183,8 +183,9 @@
 void FleetWorld::Withdraw(std::uint64_t aNumber)
 {
   outcomes[aNumber].isRefused = true;
-  dispatcher.OnReleased(
-    now, { .id = { .daemon = DaemonId{ "d0" }, .number = aNumber }, .end = PlaceEnd::kWithdrawn });
+  dispatcher.OnAssignmentReleased(
+    now,
+    { .id = { .daemon = DaemonId{ "d0" }, .number = aNumber }, .end = AssignmentEnd::kWithdrawn });
 }
 
 OrderOutcome FleetWorld::TakeLate(const RunnerOrder& aOrder, Duration aTime)
@@ -221,7 +222,7 @@
         return OrderOutcome::kAccepted;
       }
       adapters.erase(aOrder.subject.adapter);
-      return OrderOutcome::kHolds;
+      return OrderOutcome::kAlreadyDone;
     }
     std::size_t held = runner.arriving.size() + 1;
     for (const auto& [id, names] : runner.models) {
@@ -257,7 +258,7 @@
     runner.order = SimRunner::Order{ .kind = OrderKind::kLoad,
                                      .subject = aOrder.subject,
                                      .doneAt = isFromStore ? TimePoint::max()
-                                                           : now + options.diskLoad + slowness,
+                                                           : now + options.diskLoadTime + slowness,
                                      .isFromStore = isFromStore,
                                      .left = 1.0 };
     return OrderOutcome::kAccepted;
@@ -274,53 +275,54 @@
 
 void FleetWorld::Carry(const DispatchAction& aAction)
 {
-  std::visit(
-    Overloaded{ [this](const PlacementReply& aReply) {
-                 SimOutcome& outcome = outcomes[aReply.id.number];
-                 const auto* granted = std::get_if<PlaceGranted>(&aReply.answer);
-                 if (granted == nullptr) {
-                   outcome.isRefused = true;
-                   return;
-                 }
-                 SimRunner& runner = Find(granted->runner);
-                 if (!runner.models.contains(ModelId{ outcome.model })) {
-                   ++refusedByRunner; // The daemon asks again.
-                   dispatcher.OnReleased(now, { .id = aReply.id, .end = PlaceEnd::kRefused });
-                   AskAgain(aReply.id.number);
-                   return;
-                 }
-                 outcome.startedAt = now;
-                 runner.runs[aReply.id.number] = { .model = mAsks[aReply.id.number].work.target,
-                                                   .endsAt = now + runTime };
-               },
-                [this](const RunnerOrder& aOrder) {
-                  ++orders;
-                  const auto forced = interfere ? interfere(aOrder) : std::nullopt;
-                  const OrderOutcome outcome = forced ? *forced : Take(aOrder);
-                  Later(
-                    kRoundTrip,
-                    [this, runner = aOrder.runner, outcome] {
-                      dispatcher.OnOrderResult(now, runner, outcome);
-                    },
-                    true);
-                },
-                [this](const ReportWanted& aWanted) {
-                  Later(
-                    kRoundTrip,
-                    [this, aWanted] {
-                      const SimRunner& runner = Find(aWanted.runner);
-                      RunnerReport report = ReportOf(runner);
-                      for (const auto& [at, old] : runner.history) {
-                        if (at <= now - options.reportLag) {
-                          report = old;
-                        }
-                      }
-                      dispatcher.OnReport(now, aWanted.runner, &report);
-                    },
-                    true);
-                },
-                [](const DispatchNote&) {} },
-    aAction);
+  std::visit(Overloaded{ [this](const PlacementReply& aReply) {
+                          SimOutcome& outcome = outcomes[aReply.id.number];
+                          const auto* granted = std::get_if<RunnerAssigned>(&aReply.answer);
+                          if (granted == nullptr) {
+                            outcome.isRefused = true;
+                            return;
+                          }
+                          SimRunner& runner = Find(granted->runner);
+                          if (!runner.models.contains(ModelId{ outcome.model })) {
+                            ++refusedByRunner; // The daemon asks again.
+                            dispatcher.OnAssignmentReleased(
+                              now, { .id = aReply.id, .end = AssignmentEnd::kRefused });
+                            AskAgain(aReply.id.number);
+                            return;
+                          }
+                          outcome.startedAt = now;
+                          runner.runs[aReply.id.number] = { .model =
+                                                              mAsks[aReply.id.number].work.target,
+                                                            .endsAt = now + runTime };
+                        },
+                         [this](const RunnerOrder& aOrder) {
+                           ++orders;
+                           const auto forced = interfere ? interfere(aOrder) : std::nullopt;
+                           const OrderOutcome outcome = forced ? *forced : Take(aOrder);
+                           Later(
+                             kRoundTrip,
+                             [this, runner = aOrder.runner, outcome] {
+                               dispatcher.OnOrderResult(now, runner, outcome);
+                             },
+                             true);
+                         },
+                         [this](const ReportRequest& aWanted) {
+                           Later(
+                             kRoundTrip,
+                             [this, aWanted] {
+                               const SimRunner& runner = Find(aWanted.runner);
+                               RunnerReport report = ReportOf(runner);
+                               for (const auto& [at, old] : runner.history) {
+                                 if (at <= now - options.reportLag) {
+                                   report = old;
+                                 }
+                               }
+                               dispatcher.OnReport(now, aWanted.runner, &report);
+                             },
+                             true);
+                         },
+                         [](const DispatchLogRecord&) {} },
+             aAction);
 }
 
 void FleetWorld::Step()
@@ -331,7 +333,7 @@
   for (SimRunner& runner : runners) {
     if (runner.order && runner.order->isFromStore) {
       runner.order->left -= static_cast<double>(kStep.count()) /
-                            static_cast<double>(options.storeLoad.count()) / sharing;
+                            static_cast<double>(options.storeLoadTime.count()) / sharing;
       runner.order->doneAt = runner.order->left <= 0.0 ? now : TimePoint::max();
     }
   }
@@ -344,8 +346,9 @@
     }
     for (const std::uint64_t number : ended) {
       runner.runs.erase(number);
-      dispatcher.OnReleased(
-        now, { .id = { .daemon = DaemonId{ "d0" }, .number = number }, .end = PlaceEnd::kDone });
+      dispatcher.OnAssignmentReleased(
+        now,
+        { .id = { .daemon = DaemonId{ "d0" }, .number = number }, .end = AssignmentEnd::kDone });
     }
     if (runner.order && runner.order->doneAt <= now) {
       const SimRunner::Order order = *runner.order;
--- a/tests/fleet/fleet_world.h
+++ b/tests/fleet/fleet_world.h
@@ -23,8 +23,8 @@
   std::uint32_t adapterSlots = 8;
   std::size_t adaptersAtOnce = 8; ///< That the store brings at full speed; more share it.
   std::uint32_t slots = 64;
-  Duration storeLoad = 6s;
-  Duration diskLoad = 1s;
+  Duration storeLoadTime = 6s;
+  Duration diskLoadTime = 1s;
   Duration reportLag = 100ms;
   bool hasAllOnDisk = true;
   std::uint32_t seed = 1;
@@ -138,7 +138,7 @@
 
   std::shared_ptr<FleetConfiguration> mConfiguration;
   std::deque<Pending> mPending;
-  std::map<std::uint64_t, PlacementAsk> mAsks;
+  std::map<std::uint64_t, PlacementRequest> mAsks;
   std::uint64_t mNextAsk = 1;
   std::uint64_t mFence = 1;
 };
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -71,7 +71,7 @@
 
   std::vector<Daemon> daemons;
   TimePoint now{ 1'000s };
-  LeaseRow row;
+  OrderLeaseRow row;
   RowVersion version;
   std::uint64_t nextVersion = 1;
   double lostAnswers = 0.0;
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -103,7 +103,7 @@
   REQUIRE(report.has_value());
   CHECK(report->isBusy);
   CHECK(report->orderCount == 2);
-  CHECK(report->holdings.arriving.size() == 1);
+  CHECK(report->holdings.loadingAdapters.size() == 1);
 }
 
 TEST_CASE("a configuration is decoded into our names")
@@ -121,7 +121,7 @@
   REQUIRE(service != nullptr);
   REQUIRE(service->engine.has_value());
   CHECK(service->engine->models.at(ModelId{ "m1" }).weights.value == 65'100);
-  CHECK(service->engine->models.at(ModelId{ "m1" }).diskLoad == 990ms);
+  CHECK(service->engine->models.at(ModelId{ "m1" }).diskLoadTime == 990ms);
   CHECK_FALSE(configuration->Find(ServiceId{ "s2" })->engine.has_value());
 }
 
