--- a/src/operator/admin_routes.h
+++ b/src/operator/admin_routes.h
@@ -1,4 +1,4 @@
-/* The calls of the administration API, and who may make them. */
+/* A route of the administration API and the operator role that it requires. */
 #ifndef RHUBARBTRAIL_OPERATOR_ADMIN_ROUTES_H
 #define RHUBARBTRAIL_OPERATOR_ADMIN_ROUTES_H
 
@@ -9,12 +9,13 @@
 
 namespace rhubarbtrail {
 
-/* One call of the administration API. */
+/* An HTTP method and path that the administration API serves. */
 struct AdminRoute
 {
   std::string method;
   std::string path;
-  std::optional<OperatorRole> role; ///< The least role; nothing means that no key is needed.
+  /* Lowest role that may make the call. Without a value, no key is needed. */
+  std::optional<OperatorRole> role;
 };
 
 } // namespace rhubarbtrail
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -1,4 +1,4 @@
-/* The administration API on cpp-httplib; docs/ADMIN_API.md describes it. */
+/* Routes of the administration API, served by cpp-httplib. docs/ADMIN_API.md describes the API. */
 #include "operator/admin_server.h"
 
 #include "config/configuration_diff.h"
@@ -22,15 +22,16 @@
 constexpr const char* kBearer = "Bearer ";
 constexpr std::size_t kThreads = 8;
 constexpr const char* kJson = "application/json";
-/* Time an operator's program may take to send the next part of its request. */
+/* Longest wait for the next bytes of a request. */
 constexpr std::chrono::seconds kReadTimeout{ 10 };
-/* Time an idle connection is kept open, which is also how long a stop may take. */
+/* Time after which an idle connection is closed. Stop() may have to wait this long. */
 constexpr std::chrono::seconds kKeepAliveTimeout{ 1 };
 
 using httplib::Request;
 using httplib::Response;
 using Handler = std::function<void(const Request&, Response&, const OperatorKey&)>;
 
+/* Answers with an HTTP status and a JSON body that holds the reason. */
 void Fail(Response& aResponse, int aStatus, const std::string& aReason)
 {
   aResponse.status = aStatus;
@@ -45,6 +46,7 @@
            { "accepted_at_unix_ms", aRow.acceptedAtUnixMs } };
 }
 
+/* Parses a version number, with or without the quotes of an entity tag. */
 std::optional<ConfigVersion> ParseVersion(std::string aText)
 {
   std::erase(aText, '"');
@@ -61,13 +63,14 @@
   return list;
 }
 
-/* Reads an accepted document; empty when this daemon cannot read it. */
+/* Parses an accepted document. Returns an empty configuration if this daemon finds errors in it. */
 Configuration ParseOrEmpty(const std::string& aDocument)
 {
   return ParseConfiguration(aDocument, {}).value_or(Configuration{});
 }
 
-/* Lists what a document would change in another; documents with errors change nothing. */
+/* Lists the changes from one document to another. The list is empty if the new document has errors.
+ * An old document that is empty or has errors counts as an empty configuration. */
 json DescribeDiff(const std::string& aBefore, const std::string& aAfter)
 {
   const auto before =
@@ -89,14 +92,17 @@
   return list;
 }
 
-/* Answers a call whose handler threw, and logs why. */
+/* Logs the exception that a handler threw, and answers with status 500. */
 void AnswerException(const Request& aRequest, Response& aResponse, const std::exception_ptr& aCause)
 {
   try {
     std::rethrow_exception(aCause);
   } catch (const std::exception& error) {
     Log(log_part::kOperator)
-      ->error("{} {} failed: {}.", aRequest.method, aRequest.path, error.what());
+      ->error("{} {} failed with an exception and is answered with status 500: {}.",
+              aRequest.method,
+              aRequest.path,
+              error.what());
   }
   Fail(aResponse, 500, "the daemon could not answer; its log says why");
 }
@@ -137,6 +143,7 @@
              const Handler& aHandler,
              const Request& aRequest,
              Response& aResponse) const;
+  /* Registers a route. Its handler is called through Guard(). */
   void Add(const AdminRoute& aRoute, Handler aHandler);
   void AddReadRoutes();
   void AddWriteRoutes();
@@ -163,7 +170,8 @@
   HttpServerThread thread{ server };
 };
 
-/* Checks the key of a call, makes it, and leaves an audit line unless it only reads. */
+/* Checks the key of a request and calls the handler if the key's role suffices. Logs the call for
+ * the audit, unless the route only requires the view role. */
 void AdminServer::Impl::Guard(const AdminRoute& aRoute,
                               const Handler& aHandler,
                               const Request& aRequest,
@@ -181,10 +189,11 @@
   const auto key = FindOperatorKey(options.keys, header.substr(std::string{ kBearer }.size()));
   if (!key || key->role < *aRoute.role) {
     Fail(aResponse, 403, "this key does not allow the call");
-    // Anybody can send unknown keys, so that they must not fill the log.
+    // Unknown keys are logged at the debug level only, so that a client without a key cannot fill
+    // the log.
     Log(log_part::kOperator)
       ->log(key ? spdlog::level::warn : spdlog::level::debug,
-            "Refused {} {} to {}.",
+            "Refused {} {} with status 403 for {}.",
             aRoute.method,
             aRoute.path,
             key ? "the key " + key->name : std::string{ "an unknown key" });
@@ -193,7 +202,8 @@
   aHandler(aRequest, aResponse, *key);
   if (*aRoute.role != OperatorRole::kView) {
     Log(log_part::kOperator)
-      ->info("{} called {} {}: {}.", key->name, aRoute.method, aRoute.path, aResponse.status);
+      ->info(
+        "{} called {} {}: status {}.", key->name, aRoute.method, aRoute.path, aResponse.status);
   }
 }
 
@@ -279,7 +289,7 @@
 
 void AdminServer::Impl::GetHistory(const Request& aRequest, Response& aResponse) const
 {
-  /* Versions listed at most, the newest first; each one's document is read. */
+  /* Limits the number of listed versions, since each one's document is read from the table. */
   constexpr std::uint64_t kHistoryLimit = 50;
   constexpr std::uint64_t kHistoryDefault = 20;
   std::uint64_t limit = kHistoryDefault;
--- a/src/operator/admin_server.h
+++ b/src/operator/admin_server.h
@@ -1,4 +1,4 @@
-/* The administration API. */
+/* HTTP server of the administration API, through which operators inspect and control a daemon. */
 #ifndef RHUBARBTRAIL_OPERATOR_ADMIN_SERVER_H
 #define RHUBARBTRAIL_OPERATOR_ADMIN_SERVER_H
 
@@ -18,21 +18,27 @@
 struct AdminServerOptions
 {
   std::string address = "127.0.0.1";
-  std::uint16_t port = 0;
-  std::uint64_t bodyLimit = 8U << 20U; ///< Bytes.
+  std::uint16_t port = 0;              ///< With 0, the kernel chooses a free port.
+  std::uint64_t bodyLimit = 8U << 20U; ///< Largest request body in bytes.
   std::vector<OperatorKey> keys;
 };
 
-/* What the administration API needs of the daemon. */
+/* Callbacks into the daemon. They are called on the threads of the HTTP server. */
 struct AdminHooks
 {
+  /* Returns the state dump of the daemon. */
   std::function<std::vector<DumpEntry>()> dump;
+  /* Returns the metrics in the Prometheus text format. */
   std::function<std::string()> metrics;
-  std::function<void(ConfigurationRow)> accepted; ///< A version was accepted here.
+  /* Called after this server has accepted a configuration version. */
+  std::function<void(ConfigurationRow)> accepted;
+  /* Makes the daemon finish its open requests and exit. */
   std::function<void()> drain;
-  std::function<void(FingerprintId)> release; ///< Takes a request out of quarantine everywhere.
+  /* Releases a request from quarantine on all daemons. */
+  std::function<void(FingerprintId)> release;
 };
 
+/* Serves the administration API. Requests are answered on the threads of an HTTP server. */
 class AdminServer
 {
 public:
@@ -44,11 +50,13 @@
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /* Binds and starts to serve; returns the port, or 0 when it cannot be bound. */
+  /* Binds the port and starts to serve. Returns the port, or 0 if it cannot be bound. */
   std::uint16_t Start();
+
+  /* Closes the listening socket and waits for the requests in progress. */
   void Stop();
 
-  /* Returns the calls that are served. */
+  /* Returns the served routes. Start() registers them. */
   const std::vector<AdminRoute>& routes() const;
 
 private:
--- a/src/operator/configuration_store.cpp
+++ b/src/operator/configuration_store.cpp
@@ -1,4 +1,4 @@
-/* Acceptance of configurations by one conditional write. */
+/* Stores each configuration version with one conditional transaction. */
 #include "operator/configuration_store.h"
 
 #include "core/digest_func.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-/* Tries to find out what became of a write whose answer was lost. */
+/* Number of reads that try to find out whether a transaction was committed, after an answer that
+ * was lost or reported a conflict. */
 constexpr int kReadBackTries = 5;
 
 std::int64_t UnixMs()
@@ -90,7 +91,9 @@
   if (result.outcome == TransactionOutcome::kCommitted) {
     return row;
   }
-  // The answer may have been lost, and a conflict may be with our own write.
+  // The answer may have been lost, and a reported conflict may be with this very write if the
+  // transaction reached the table twice. The change id of the stored row tells whether it was
+  // committed.
   for (int tries = 0; tries < kReadBackTries; ++tries) {
     const auto now = ReadHead();
     if (!now) {
--- a/src/operator/configuration_store.h
+++ b/src/operator/configuration_store.h
@@ -1,4 +1,4 @@
-/* The chain of accepted configurations in the table. */
+/* Stores the accepted configuration versions in the platform's table service. */
 #ifndef RHUBARBTRAIL_OPERATOR_CONFIGURATION_STORE_H
 #define RHUBARBTRAIL_OPERATOR_CONFIGURATION_STORE_H
 
@@ -13,30 +13,32 @@
 
 namespace rhubarbtrail {
 
-/* A new version to be accepted. */
+/* A document that an operator wants to make the next configuration version. */
 struct Proposal
 {
   std::string document;
   std::string author;
   std::string comment;
-  ConfigVersion basedOn; ///< The version that the operator saw.
+  ConfigVersion basedOn; ///< Newest version that the operator knows.
 };
 
 enum class ProposalFault : std::uint8_t
 {
-  kInvalid,     ///< The document has errors.
-  kConflict,    ///< Another version was accepted in between.
-  kUnknown,     ///< The table did not answer; it may have been accepted.
-  kUnavailable, ///< The table cannot be read; nothing was changed.
+  kInvalid,     ///< The document has errors, which ProposalError::errors lists.
+  kConflict,    ///< Another version was accepted after the one that the proposal is based on.
+  kUnknown,     ///< It is not known whether the write succeeded. The document may be accepted.
+  kUnavailable, ///< The table cannot be read. Nothing was changed.
 };
 
 struct ProposalError
 {
   ProposalFault fault = ProposalFault::kInvalid;
   std::vector<DocumentError> errors;
-  std::optional<ConfigurationRow> current; ///< With kConflict.
+  std::optional<ConfigurationRow> current; ///< Newest version, set only with kConflict.
 };
 
+/* Reads and writes the configuration versions: the newest one in the head row, and each one in a
+ * history row of its own. */
 class ConfigurationStore
 {
 public:
@@ -45,17 +47,20 @@
   {
   }
 
-  /* Returns the newest version; version 0 when there is none yet, nothing when the table
-   * does not answer. */
+  /* Returns the newest version. The row has version 0 if no configuration was accepted yet. Has no
+   * value if the table cannot be read. */
   std::optional<ConfigurationRow> Newest() const;
 
-  /* Returns one earlier version. */
+  /* Returns a version from the history. Has no value if the version does not exist or the table
+   * cannot be read. */
   std::optional<ConfigurationRow> Version(ConfigVersion aVersion) const;
 
-  /* Checks a document and accepts it as the next version, if nobody else was faster. */
+  /* Validates a document and stores it as the next version, unless another version was accepted
+   * after the one that the proposal is based on. */
   tl::expected<ConfigurationRow, ProposalError> Accept(const Proposal& aProposal) const;
 
 private:
+  /* The newest version, and the table's version of the row that holds it. */
   struct Head
   {
     RowVersion rowVersion;
--- a/src/operator/daemon_status.cpp
+++ b/src/operator/daemon_status.cpp
@@ -1,4 +1,4 @@
-/* The status of a daemon, taken from its state dump. */
+/* Builds the status document from the state dump and formats it as text. */
 #include "operator/daemon_status.h"
 
 #include <algorithm>
@@ -11,6 +11,7 @@
 
 using nlohmann::json;
 
+/* Parts of the dotted paths in a state dump. */
 constexpr std::string_view kMembers = "view.members.";
 constexpr std::string_view kEndpoints = "view.endpoints.";
 constexpr std::string_view kCells = "cells.";
@@ -18,7 +19,8 @@
 constexpr std::string_view kQuarantined = "router.quarantined.";
 constexpr std::string_view kMemory = "memory_mb";
 
-/* Splits "ID.field" at its last dot. */
+/* Splits "ID.field" at the last dot, since ids may contain dots. Without a dot, the field is
+ * empty. */
 std::pair<std::string, std::string> SplitField(const std::string& aText)
 {
   const auto dot = aText.rfind('.');
@@ -28,7 +30,9 @@
   return { aText.substr(0, dot), aText.substr(dot + 1) };
 }
 
-/* Returns the endpoint whose id a path begins with; ids may hold dots themselves. */
+/* Returns the id of the endpoint at the start of a path. Ids may contain dots, so the longest
+ * matching id of a known endpoint is returned. If none matches, the id is assumed to end at the
+ * last dot. */
 std::string EndpointOf(const std::string& aPath, const json& aEndpoints)
 {
   std::string longest;
@@ -40,6 +44,8 @@
   return longest.empty() ? SplitField(aPath).first : longest;
 }
 
+/* Adds the dump entry of a cell, or of one of its runners, to the status. The path starts with the
+ * id of the cell. */
 void AddCellEntry(const std::string& aPath, const std::string& aValue, json& aStatus)
 {
   const auto runners = aPath.find(kRunners);
@@ -59,7 +65,7 @@
   }
 }
 
-/* Writes a table whose columns are as wide as their widest text. */
+/* Formats rows as text. Each column but the last is two characters wider than its widest text. */
 std::string ToTable(const std::vector<std::vector<std::string>>& aRows)
 {
   std::vector<std::size_t> widths;
--- a/src/operator/daemon_status.h
+++ b/src/operator/daemon_status.h
@@ -1,4 +1,5 @@
-/* What operators ask first: daemons, cells, runners and models as one daemon sees them. */
+/* Status overview for operators: the daemons, cells, runners, models, endpoints and quarantined
+ * requests that one daemon knows. */
 #ifndef RHUBARBTRAIL_OPERATOR_DAEMON_STATUS_H
 #define RHUBARBTRAIL_OPERATOR_DAEMON_STATUS_H
 
@@ -11,13 +12,13 @@
 
 namespace rhubarbtrail {
 
-/* Returns the word for a state of readiness. */
+/* Returns the name that the status and the log use for a readiness state. */
 std::string_view ToString(Readiness aReadiness);
 
-/* Builds the status from a snapshot and a state dump. */
+/* Builds the status document from a snapshot and a state dump. */
 nlohmann::json MakeStatus(const Snapshot& aSnapshot, const std::vector<DumpEntry>& aDump);
 
-/* Returns a status as readable tables. */
+/* Formats a status document as text, with tables of daemons, cells, runners and endpoints. */
 std::string StatusToText(const nlohmann::json& aStatus);
 
 } // namespace rhubarbtrail
--- a/src/operator/drained_runner.cpp
+++ b/src/operator/drained_runner.cpp
@@ -1,4 +1,4 @@
-/* Marks a runner as drained in a configuration document. */
+/* Changes the list of drained endpoints in a configuration document. */
 #include "operator/drained_runner.h"
 
 #include <yaml-cpp/yaml.h>
--- a/src/operator/drained_runner.h
+++ b/src/operator/drained_runner.h
@@ -1,4 +1,4 @@
-/* Marks a runner as drained in a configuration document. */
+/* Adds a runner to the drained endpoints in a configuration document, or removes it. */
 #ifndef RHUBARBTRAIL_OPERATOR_DRAINED_RUNNER_H
 #define RHUBARBTRAIL_OPERATOR_DRAINED_RUNNER_H
 
@@ -16,7 +16,9 @@
   kYes,
 };
 
-/* Returns the document with the runner on the service's list of drained endpoints, or off it. */
+/* Returns the document with the runner added to the service's list of drained endpoints, or removed
+ * from it. The document is parsed and written anew, so comments and layout are lost. The error says
+ * why the document cannot be changed. */
 tl::expected<std::string, std::string> WithDrainedRunner(const std::string& aDocument,
                                                          const ServiceId& aService,
                                                          const EndpointId& aRunner,
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -1,4 +1,4 @@
-/* Operators' subcommands. */
+/* Command-line subcommands for operators. */
 #include "operator/operator_commands.h"
 
 #include "config/configuration_diff.h"
@@ -23,10 +23,11 @@
 using nlohmann::json;
 
 constexpr Duration kTimeout = 10s;
-/* Time between two looks at the versions of the daemons. */
+/* Time between two reads of the daemons' configuration versions. */
 constexpr Duration kPollInterval = 200ms;
 
-/* Reads a file, or standard input for "-"; nothing when it cannot be read. */
+/* Reads a file, or standard input for "-". Prints an error and returns no value if the file cannot
+ * be opened. */
 std::optional<std::string> ReadAll(const std::string& aFile)
 {
   if (aFile == "-") {
@@ -40,7 +41,7 @@
   return std::string{ std::istreambuf_iterator<char>(file), {} };
 }
 
-/* Prints what a daemon has to say about a call that did not succeed. */
+/* Prints why a call failed, with the error that the daemon answered, and returns the exit code. */
 int Explain(const HttpAnswer& aAnswer)
 {
   if (aAnswer.outcome != HttpOutcome::kAnswered) {
@@ -78,6 +79,7 @@
   return aAnswer.outcome == HttpOutcome::kAnswered && aAnswer.status == 200;
 }
 
+/* Prints the body of a successful answer or the error of a failed call. Returns the exit code. */
 int Print(const HttpAnswer& aAnswer)
 {
   if (!IsOk(aAnswer)) {
@@ -90,6 +92,7 @@
   return kExitOk;
 }
 
+/* Sets a value from an environment variable if the value is empty and the variable is set. */
 void SetFromEnvironment(std::string& aValue, const char* aName)
 {
   const char* value = std::getenv(aName);
@@ -98,6 +101,7 @@
   }
 }
 
+/* Formats a time as ISO 8601 in UTC, with seconds. */
 std::string TimeText(std::int64_t aUnixMs)
 {
   const std::time_t seconds = aUnixMs / 1'000;
@@ -125,8 +129,9 @@
                                       const std::string& aHelp,
                                       std::function<int()> aRun)
 {
-  // CLI11 reads an option's environment variable for subcommands that were not called too, and
-  // all of them share one target; so the environment is looked at here, where an option is empty.
+  // CLI11 would apply an option's environment variable for subcommands that were not called as
+  // well, and all subcommands share one target. The variables are therefore read here, and only for
+  // options that were not given.
   const auto runAtTarget = [this, run = std::move(aRun)] {
     SetFromEnvironment(mTarget.admin, "RHUBARBTRAIL_ADMIN");
     SetFromEnvironment(mTarget.key, "RHUBARBTRAIL_KEY");
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -1,4 +1,5 @@
-/* Operators' subcommands of the command line: clients of the administration API. */
+/* Command-line subcommands for operators. All but `config check` call a daemon's administration
+ * API. */
 #ifndef RHUBARBTRAIL_OPERATOR_OPERATOR_COMMANDS_H
 #define RHUBARBTRAIL_OPERATOR_OPERATOR_COMMANDS_H
 
@@ -15,36 +16,48 @@
 
 namespace rhubarbtrail {
 
+/* Declares the subcommands, holds their options and runs the one that was parsed. */
 class OperatorCommands
 {
 public:
-  /* Declares the subcommands. */
+  /* Adds the subcommands to the command line. */
   void Add(CLI::App& aApp);
 
-  /* Runs the subcommand that was parsed; returns the exit code. */
+  /* Runs the parsed subcommand and returns its exit code. */
   int Run() { return mRun ? mRun() : 1; }
 
 private:
+  /* The daemon to call. */
   struct Target
   {
     std::string admin; ///< host:port of a daemon's administration API.
-    std::string key;
+    std::string key;   ///< Operator key that the call carries.
   };
+
+  /* Adds a subcommand that Run() executes with aRun if it was parsed. */
   CLI::App& AddCommand(CLI::App& aParent,
                        const std::string& aName,
                        const std::string& aHelp,
                        std::function<int()> aRun);
+
+  /* Adds a subcommand that calls a daemon, with options for the daemon's address and the key. */
   CLI::App& AddRemote(CLI::App& aParent,
                       const std::string& aName,
                       const std::string& aHelp,
                       std::function<int()> aRun);
+
   void AddConfig(CLI::App& aApp);
   void AddOperation(CLI::App& aApp);
 
+  /* Calls the administration API. A value for aBasedOn makes it the call that changes the
+   * configuration: the base version and the comment are sent as headers. */
   HttpAnswer Call(const std::string& aMethod,
                   const std::string& aPath,
                   std::string aBody = {},
                   std::optional<std::uint64_t> aBasedOn = std::nullopt) const;
+
+  /* The functions below print the result, or the error of a failed call, and return the exit
+   * code. */
   int Get(const std::string& aPath) const;
   int Post(const std::string& aPath, std::string aBody) const;
   int Check() const;
@@ -52,24 +65,34 @@
   int ShowDiff() const;
   int ShowHistory() const;
   int Apply() const;
+
+  /* Sends a document to be accepted as the next version, and waits for all daemons if --wait was
+   * given. */
   int Accept(const std::string& aPath, std::string aDocument, std::uint64_t aBasedOn) const;
+
+  /* Waits until all live daemons report a configuration version, or until --wait has passed. */
   int WaitForAll(std::uint64_t aVersion) const;
+
+  /* Drains a daemon, or with --runner, changes the drained endpoints in the configuration. */
   int Drain() const;
+
+  /* Returns the newest configuration version, 0 if there is none yet. Prints the error and returns
+   * no value if the call fails. */
   std::optional<std::uint64_t> NewestVersion() const;
 
   Target mTarget;
   std::string mFile;
   std::string mComment;
-  std::string mWord; ///< The single argument of a subcommand that has one.
+  std::string mWord; ///< Log level or fingerprint.
   std::string mService;
   std::string mRunner;
   std::optional<std::uint64_t> mBasedOn;
-  std::optional<std::uint64_t> mFromVersion;
+  std::optional<std::uint64_t> mFromVersion; ///< Version whose document is accepted again.
   std::optional<std::uint64_t> mVersion;
   std::uint32_t mWaitSeconds = 0;
   bool mIsJson = false;
   bool mIsUndo = false;
-  std::function<int()> mRun;
+  std::function<int()> mRun; ///< Runs the parsed subcommand.
 };
 
 } // namespace rhubarbtrail
--- a/src/operator/operator_keys.cpp
+++ b/src/operator/operator_keys.cpp
@@ -1,4 +1,4 @@
-/* Operators' keys. */
+/* Reads the file of operator keys and finds the key that a request presents. */
 #include "operator/operator_keys.h"
 
 #include "core/digest_func.h"
@@ -14,7 +14,8 @@
 
 constexpr std::size_t kHashDigits = 64;
 
-/* Returns the text of a required field; adds a fault when it is missing. */
+/* Returns the text of a required field. If it is missing or not a scalar, sets the error and
+ * returns an empty text. */
 std::string Field(const YAML::Node& aItem, const char* aName, std::string& aFault)
 {
   const YAML::Node value = aItem[aName];
@@ -25,7 +26,7 @@
   return value.Scalar();
 }
 
-/* Reads one key; the error says what is wrong with it. */
+/* Reads one item of the list. The error says what is wrong with it. */
 tl::expected<OperatorKey, std::string> ReadKey(const YAML::Node& aItem)
 {
   static const std::map<std::string, OperatorRole> sRoles{ { "view", OperatorRole::kView },
--- a/src/operator/operator_keys.h
+++ b/src/operator/operator_keys.h
@@ -1,4 +1,4 @@
-/* Operators' keys and what they allow. */
+/* Keys of operators for the administration API, and the roles that the keys grant. */
 #ifndef RHUBARBTRAIL_OPERATOR_OPERATOR_KEYS_H
 #define RHUBARBTRAIL_OPERATOR_OPERATOR_KEYS_H
 
@@ -11,12 +11,12 @@
 
 namespace rhubarbtrail {
 
-/* Each role includes the ones before it. */
+/* What an operator may do. Each role includes the permissions of the roles before it. */
 enum class OperatorRole : std::uint8_t
 {
-  kView,
-  kOperate,
-  kConfigure,
+  kView,      ///< Read the state, the metrics and the configuration.
+  kOperate,   ///< Drain the daemon, change its log level, and release requests from quarantine.
+  kConfigure, ///< Change the configuration.
 };
 
 struct OperatorKey
@@ -26,10 +26,12 @@
   OperatorRole role = OperatorRole::kView;
 };
 
-/* Reads a YAML list of keys; the error says what is wrong with the file. */
+/* Reads a YAML list of keys from a file. The error names the file, the line if it is
+ * known, and the reason. */
 tl::expected<std::vector<OperatorKey>, std::string> LoadOperatorKeys(const std::string& aFile);
 
-/* Finds the key that a request carries; the time taken does not depend on which one fits. */
+/* Returns the key whose hash matches the presented key. Always compares all hashes, each in
+ * constant time, so that the duration does not reveal which key matches. */
 std::optional<OperatorKey> FindOperatorKey(const std::vector<OperatorKey>& aKeys,
                                            std::string_view aPresented);
 
