--- a/src/config/configuration_check.cpp
+++ b/src/config/configuration_check.cpp
@@ -1,4 +1,4 @@
-/* Checks between the parts of a configuration. */
+/* Checks the parts of a configuration against each other. */
 #include "config/configuration_check.h"
 
 #include "decision/configuration_func.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/* The class of requests that name none. */
+/* Class of requests that do not name a class. */
 const ClassId kDefaultClass{ "default" };
 
 void CheckModel(DocumentReader& aReader,
@@ -18,7 +18,7 @@
 {
   const std::string path = "models." + aModel.id.str();
   if (aModel.service.empty()) {
-    return; // Reported when the model was read.
+    return; // The reader has already reported the missing or invalid service.
   }
   const auto found = aConfiguration.services.find(aModel.service);
   if (found == aConfiguration.services.end()) {
@@ -48,6 +48,7 @@
   }
 }
 
+/* Returns whether the earlier route matches every request that the later one matches. */
 bool IsShadowed(const RouteSpec& aEarlier, const RouteSpec& aLater)
 {
   const bool coversMethod = aEarlier.method.empty() || aEarlier.method == aLater.method;
@@ -102,6 +103,7 @@
   }
 }
 
+/* Checks the models and services that a customer may call. */
 void CheckGrants(DocumentReader& aReader,
                  const Configuration& aConfiguration,
                  const CustomerSpec& aCustomer,
--- a/src/config/configuration_check.h
+++ b/src/config/configuration_check.h
@@ -1,4 +1,4 @@
-/* Checks between the parts of a configuration. */
+/* Checks the parts of a configuration against each other. */
 #ifndef RHUBARBTRAIL_CONFIG_CONFIGURATION_CHECK_H
 #define RHUBARBTRAIL_CONFIG_CONFIGURATION_CHECK_H
 
@@ -6,7 +6,8 @@
 
 namespace rhubarbtrail {
 
-/* Finds references that lead nowhere, memory that cannot fit and limits that contradict. */
+/* Adds an error to aReader for each reference to an unknown part, each model that does not fit into
+ * a runner, and settings that contradict each other. aReader is the one that read the document. */
 void CheckConfiguration(DocumentReader& aReader, const Configuration& aConfiguration);
 
 } // namespace rhubarbtrail
--- a/src/config/configuration_diff.cpp
+++ b/src/config/configuration_diff.cpp
@@ -1,4 +1,4 @@
-/* What a change of configuration would do. */
+/* Compares two configurations part by part and field by field. */
 #include "config/configuration_diff.h"
 
 #include "core/overloaded.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/* The fields of one part, by name. */
+/* The values of one part as texts, by field name. */
 using Fields = std::map<std::string, std::string>;
-/* The parts of a configuration, by path. */
+/* The parts of a configuration, by path, such as "models.NAME". */
 using Parts = std::map<std::string, Fields>;
 
 std::string Milliseconds(Duration aDuration)
@@ -136,6 +136,8 @@
   return parts;
 }
 
+/* Appends a change for each field whose values differ. A field that one side lacks has the value
+ * "none" there. */
 void DiffFields(const std::string& aPath,
                 const Fields& aBefore,
                 const Fields& aAfter,
--- a/src/config/configuration_diff.h
+++ b/src/config/configuration_diff.h
@@ -1,4 +1,4 @@
-/* What a change of configuration would do. */
+/* Compares two configurations. */
 #ifndef RHUBARBTRAIL_CONFIG_CONFIGURATION_DIFF_H
 #define RHUBARBTRAIL_CONFIG_CONFIGURATION_DIFF_H
 
@@ -16,23 +16,23 @@
   kChanged,
 };
 
-/* One part that differs: a service, model, adapter, class or customer that comes or goes, or one
- * field of a part that stays. */
+/* One difference: a service, model, adapter, class or customer that was added or removed, or a
+ * field whose value changed. */
 struct ConfigurationChange
 {
   ChangeKind kind = ChangeKind::kChanged;
-  std::string path;
-  std::string before; ///< Empty unless a field changed.
-  std::string after;
+  std::string path;   ///< Such as "models.NAME", or "models.NAME.memory_mb" for a field.
+  std::string before; ///< Text of the former value. Empty unless kind is kChanged.
+  std::string after;  ///< Text of the new value. Empty unless kind is kChanged.
 };
 
-/* Compares meanings, not texts: order, layout and written-out defaults make no difference. */
+/* Returns the differences ordered by path. Parsed values are compared, so neither the order and
+ * layout of a document nor default values that it states explicitly count as differences. */
 std::vector<ConfigurationChange> Diff(const Configuration& aBefore, const Configuration& aAfter);
 
-/* Returns the word of a kind of change. */
 std::string_view ToString(ChangeKind aKind);
 
-/* Returns a change as a line of text. */
+/* Formats a change as one line without a line break. */
 std::string ToText(const ConfigurationChange& aChange);
 
 } // namespace rhubarbtrail
--- a/src/config/configuration_document.cpp
+++ b/src/config/configuration_document.cpp
@@ -1,4 +1,4 @@
-/* Reads the operators' YAML document. */
+/* Converts the YAML document into a configuration. */
 #include "config/configuration_document.h"
 
 #include "config/configuration_check.h"
@@ -22,7 +22,7 @@
   kCostAware,
 };
 
-/* Refuses parameters that belong to another policy than the one chosen. */
+/* Reports parameters of other keep-alive policies than the chosen one. */
 void RefuseForeign(DocumentReader& aReader, PathRef aPath, KeepAliveKind aKind)
 {
   struct Parameter
--- a/src/config/configuration_document.h
+++ b/src/config/configuration_document.h
@@ -1,4 +1,4 @@
-/* The operators' YAML document: reading it, and checking it whole. */
+/* Parses and validates the YAML document in which operators write the configuration. */
 #ifndef RHUBARBTRAIL_CONFIG_CONFIGURATION_DOCUMENT_H
 #define RHUBARBTRAIL_CONFIG_CONFIGURATION_DOCUMENT_H
 
@@ -10,15 +10,17 @@
 
 namespace rhubarbtrail {
 
-/* A fault in a document: its line, the path of the faulty value, and why. */
+/* An error in a document. */
 struct DocumentError
 {
-  int line = 0;
-  std::string path;
+  int line = 0;     ///< Counted from 1.
+  std::string path; ///< Of the faulty value, such as "models.NAME.memory_mb". May be empty.
   std::string reason;
 };
 
-/* Parses and checks a document. All faults are reported at once. */
+/* Parses and validates a document. aVersion becomes the version of the configuration. If the YAML
+ * is invalid or its structure is not allowed, only that is reported. Otherwise, all errors are
+ * returned at once, ordered by line. */
 tl::expected<Configuration, std::vector<DocumentError>> ParseConfiguration(
   const std::string& aDocument,
   ConfigVersion aVersion);
--- a/src/config/document_reader.cpp
+++ b/src/config/document_reader.cpp
@@ -1,4 +1,4 @@
-/* Reads YAML nodes into typed values and collects every fault on the way. */
+/* Converts YAML nodes into typed values and collects the errors. */
 #include "config/document_reader.h"
 
 #include <algorithm>
@@ -13,6 +13,7 @@
 constexpr std::int64_t kDayMs = 86'400'000;
 constexpr std::int64_t kMemoryLimitMb = 10'000'000;
 
+/* Returns the line of a node, counted from 1. A node without a position has line 1. */
 int LineOf(const YAML::Node& aNode)
 {
   return std::max(aNode.Mark().line + 1, 1);
@@ -35,7 +36,7 @@
          });
 }
 
-/* Returns the text of a mapping's key, or nothing for a key that is no scalar. */
+/* Returns the text of a mapping's key, which is empty if the key is not a scalar. */
 std::string KeyOf(const YAML::Node& aKey)
 {
   return aKey.IsScalar() ? aKey.Scalar() : std::string{};
@@ -46,7 +47,7 @@
 void DocumentReader::Fail(const YAML::Node& aNode, const std::string& aPath, std::string aReason)
 {
   if (aNode.IsNull() && Has(aPath)) {
-    FailAt(aPath, std::move(aReason)); // A missing value has no place of its own.
+    FailAt(aPath, std::move(aReason)); // A missing value has no line, so that of its key is used.
     return;
   }
   mErrors.push_back({ LineOf(aNode), aPath, std::move(aReason) });
--- a/src/config/document_reader.h
+++ b/src/config/document_reader.h
@@ -1,4 +1,4 @@
-/* Reads YAML nodes into typed values and collects every fault on the way. */
+/* Converts YAML nodes into typed values and collects the errors. */
 #ifndef RHUBARBTRAIL_CONFIG_DOCUMENT_READER_H
 #define RHUBARBTRAIL_CONFIG_DOCUMENT_READER_H
 
@@ -14,34 +14,43 @@
 
 namespace rhubarbtrail {
 
-/* Collects faults while a document is read, and remembers the line of each path. */
+/* Reads the parts of a document. Collects all errors instead of stopping at the first one, and
+ * records the line of each path that it reads, so that later checks can report the line, too.
+ *
+ * The functions that read a value leave aOut unchanged if the value is invalid. */
 class DocumentReader
 {
 public:
+  /* Gets a value and its path. */
   using Handler = std::function<void(const YAML::Node&, const std::string&)>;
+  /* Gets a name, its value and the value's path. */
   using EntryHandler =
     std::function<void(const std::string&, const YAML::Node&, const std::string&)>;
 
-  /* Notes a fault at a node. */
+  /* Adds an error with the line of a node. */
   void Fail(const YAML::Node& aNode, const std::string& aPath, std::string aReason);
 
-  /* Notes a fault at a path; its line is that of the nearest part that was read. */
+  /* Adds an error with the line of a path. If the path was not read, the line of the nearest parent
+   * that was read is used, or line 1 if there is none. */
   void FailAt(const std::string& aPath, std::string aReason);
 
-  /* Returns whether the document holds something at a path. */
+  /* Returns whether a known key, a name or a list item was read at a path. */
   bool Has(const std::string& aPath) const { return mLines.contains(aPath); }
 
-  /* Visits the members of a mapping; a member without a handler is a fault. */
+  /* Calls the handler of each key of a mapping. A key without a handler and a repeated key are
+   * errors. */
   void Members(const YAML::Node& aNode,
                const std::string& aPath,
                const std::map<std::string, Handler>& aHandlers);
 
-  /* Visits the entries of a mapping from names to values. */
+  /* Calls the handler for each entry of a mapping from names to values. An invalid name and a
+   * repeated name are errors. */
   void Entries(const YAML::Node& aNode, const std::string& aPath, const EntryHandler& aHandler);
 
-  /* Visits the items of a list. */
+  /* Calls the handler for each item of a list. */
   void Items(const YAML::Node& aNode, const std::string& aPath, const Handler& aHandler);
 
+  /* Reads a number from aLow to aHigh. A number in quotes is an error. */
   template<typename Number>
   void ReadNumber(const YAML::Node& aNode,
                   const std::string& aPath,
@@ -61,10 +70,16 @@
     aOut = *value;
   }
 
+  /* Reads a duration of 1 ms to one day. */
   void ReadMilliseconds(const YAML::Node& aNode, const std::string& aPath, Duration& aOut);
+
+  /* Reads a memory size of 1 to 10,000,000 MB. */
   void ReadMemory(const YAML::Node& aNode, const std::string& aPath, MemoryMb& aOut);
+
+  /* Reads a text of 1 to 1024 bytes without control characters. */
   void ReadText(const YAML::Node& aNode, const std::string& aPath, std::string& aOut);
 
+  /* Reads one of the given words and sets aOut to the value that belongs to it. */
   template<typename Enum>
   void ReadWord(const YAML::Node& aNode,
                 const std::string& aPath,
@@ -83,7 +98,7 @@
     Fail(aNode, aPath, "must be one of: " + words);
   }
 
-  /* Reads a list of texts, each of them once. */
+  /* Reads a list of texts. A repeated text is an error. aAdd gets each valid text and its path. */
   template<typename Item>
   void ReadList(const YAML::Node& aNode,
                 const std::string& aPath,
@@ -104,10 +119,11 @@
     });
   }
 
-  /* Returns the faults ordered by line. */
+  /* Moves out the errors, ordered by line. */
   std::vector<DocumentError> TakeErrors();
 
 private:
+  /* Returns whether a scalar is in quotes. yaml-cpp gives those the tag "!". */
   static bool IsQuoted(const YAML::Node& aNode) { return aNode.Tag() == "!"; }
   static std::string Show(double aNumber);
   template<typename Number>
--- a/src/config/document_shape.cpp
+++ b/src/config/document_shape.cpp
@@ -1,4 +1,4 @@
-/* The outer shape of a document. */
+/* Checks the YAML structure of a document. */
 #include "config/document_shape.h"
 
 #include <algorithm>
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr std::size_t kDocumentLimitBytes = 4U << 20U;
-/* The deepest value of a valid document is at models/NAME/adapters/NAME/memory_mb. */
+/* Deepest nesting of mappings and lists. A valid document needs 5 levels at most, for example for
+ * models/NAME/adapters/NAME/memory_mb. */
 constexpr int kDepthLimit = 16;
 
-/* Looks at the events of a parse; keeps the first fault of each kind. */
+/* Checks the events of the YAML parser. Keeps only the first error of each kind. */
 class ShapeHandler : public YAML::EventHandler
 {
 public:
@@ -72,7 +73,8 @@
   std::vector<DocumentError> mErrors;
 };
 
-/* Returns whether flow collections may be nested deeper than allowed. */
+/* Returns whether the brackets and braces are nested deeper than allowed. Those in quoted texts and
+ * comments are counted as well. */
 bool MayBeDeep(const std::string& aDocument)
 {
   int depth = 0;
@@ -86,8 +88,9 @@
   return false;
 }
 
-/* Returns whether the document can be free of what the pass over its events looks for. That pass
- * takes as long as the reading itself, and most documents need none. */
+/* Returns whether a search of the text finds no document markers, no aliases and no deeply nested
+ * brackets, so that the pass over the parser events can be skipped. That pass takes as long as
+ * loading the document, and most documents do not need it. */
 bool IsPlain(const std::string& aDocument)
 {
   const bool hasMarkers = aDocument.find("---") != std::string::npos ||
--- a/src/config/document_shape.h
+++ b/src/config/document_shape.h
@@ -1,4 +1,4 @@
-/* The outer shape of a document, checked before anything is built from it. */
+/* Checks the YAML structure of a document before the document is loaded. */
 #ifndef RHUBARBTRAIL_CONFIG_DOCUMENT_SHAPE_H
 #define RHUBARBTRAIL_CONFIG_DOCUMENT_SHAPE_H
 
@@ -9,8 +9,9 @@
 
 namespace rhubarbtrail {
 
-/* Checks size, depth, aliases and the number of documents in one pass over the events. Broken
- * YAML throws YAML::Exception. */
+/* Checks that a text is a single document, is not too large, is not nested too deeply and contains
+ * no aliases. Works on the events of the YAML parser, without building nodes. Throws
+ * YAML::Exception if the parser finds invalid YAML. */
 std::vector<DocumentError> CheckShape(const std::string& aDocument);
 
 } // namespace rhubarbtrail
