--- a/src/load/load_commands.cpp
+++ b/src/load/load_commands.cpp
@@ -1,4 +1,4 @@
-/* The load generator's command line. */
+/* The command-line subcommand `load`, the load generator. */
 #include "load/load_commands.h"
 
 #include "load/load_run.h"
@@ -16,6 +16,7 @@
 
 constexpr int kExitBadInput = 2;
 
+/* Reads a whole file. Returns an empty text if it cannot be opened. */
 std::string ReadFile(const std::string& aFile)
 {
   std::ifstream file(aFile);
--- a/src/load/load_commands.h
+++ b/src/load/load_commands.h
@@ -1,4 +1,4 @@
-/* The subcommand `load` of the command line. */
+/* The command-line subcommand `load`, the load generator. */
 #ifndef RHUBARBTRAIL_LOAD_LOAD_COMMANDS_H
 #define RHUBARBTRAIL_LOAD_LOAD_COMMANDS_H
 
@@ -11,15 +11,17 @@
 
 namespace rhubarbtrail {
 
+/* Declares `load` and its subcommand `load compare`, holds their options and runs them. */
 class LoadCommands
 {
 public:
-  /* Declares the subcommands. */
+  /* Adds the subcommands to the command line. */
   void Add(CLI::App& aApp);
 
+  /* Returns whether the command line contains `load`. */
   bool IsParsed() const;
 
-  /* Runs the subcommand that was parsed; returns the exit code. */
+  /* Runs the parsed subcommand and returns its exit code. */
   int Run() const;
 
 private:
--- a/src/load/load_report.cpp
+++ b/src/load/load_report.cpp
@@ -1,4 +1,4 @@
-/* Percentiles for each group, as JSON and as a table. */
+/* Computes the latency percentiles of load runs, and formats and compares reports. */
 #include "load/load_report.h"
 
 #include <algorithm>
@@ -16,6 +16,8 @@
 
 constexpr std::array kFigures{ "first_byte_min_s", "first_byte_p99_s", "p50_s", "p95_s", "p99_s" };
 
+/* Returns a percentile by the nearest-rank method, or 0 if there are no values. aShare is a
+ * fraction from 0, which gives the minimum, to 1. */
 double Percentile(const std::vector<double>& aSorted, double aShare)
 {
   if (aSorted.empty()) {
@@ -49,6 +51,7 @@
            { "p99_s", Percentile(whole, 0.99) } };
 }
 
+/* Formats a text as printf() does. Longer texts are cut to 255 characters. */
 template<typename... Values>
 std::string Format(const char* aFormat, Values... aValues)
 {
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -1,4 +1,5 @@
-/* An open loop: a slow answer never delays the intended time of another request. */
+/* Open-loop load generator: the start times of all requests are planned in advance, and slow
+ * answers do not change them. */
 #include "load/load_run.h"
 
 #include <algorithm>
@@ -15,8 +16,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-/* Requests of one group under way at most; beyond, the wait counts in the latency. */
+/* Limit of the requests of one group in progress. Further requests wait, and the wait counts in
+ * their latency. */
 constexpr std::size_t kWorkerLimit = 512;
+/* Longest wait for the next bytes of an answer. */
 constexpr std::chrono::seconds kAnswerTimeout{ 120 };
 constexpr std::chrono::seconds kProgressInterval{ 1 };
 
@@ -65,8 +68,10 @@
   const auto plan = PlanRequests(aScenario, aDaemons.size());
   std::vector<RequestOutcome> outcomes(plan.size());
   std::atomic<std::size_t> done = 0;
+  // The delay leaves time to start the worker threads.
   const Clock::time_point start = Clock::now() + std::chrono::milliseconds{ 200 };
-  // Each group has workers of its own, so that a flood never delays another group's requests.
+  // Each group has its own workers, so that the many requests of one group do not delay those of
+  // another.
   std::vector<std::vector<std::size_t>> byGroup(aScenario.groups.size());
   for (std::size_t i = 0; i < plan.size(); ++i) {
     byGroup[plan[i].group].push_back(i);
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -1,4 +1,4 @@
-/* Sends the requests of a scenario to real daemons, each at its intended time. */
+/* Sends the requests of a scenario to running daemons. */
 #ifndef RHUBARBTRAIL_LOAD_LOAD_RUN_H
 #define RHUBARBTRAIL_LOAD_LOAD_RUN_H
 
@@ -9,7 +9,9 @@
 
 namespace rhubarbtrail {
 
-/* Runs a scenario against the daemons' caller addresses; progress goes to standard error. */
+/* Sends each request of a scenario at its planned time and returns the results when all requests
+ * have ended. aDaemons are the addresses (host:port) of the daemons' caller APIs. Prints the
+ * progress to standard error. */
 std::vector<RequestOutcome> RunScenario(const Scenario& aScenario,
                                         const std::vector<std::string>& aDaemons);
 
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -1,4 +1,4 @@
-/* Scenarios from YAML, and the requests planned from them. */
+/* Parses scenarios from YAML and plans their requests. */
 #include "load/scenario.h"
 
 #include <algorithm>
@@ -24,6 +24,7 @@
   return group;
 }
 
+/* Returns what is wrong with a group, or an empty text if it is valid. */
 std::string FaultOf(const LoadGroup& aGroup)
 {
   if (aGroup.models.empty()) {
--- a/src/load/scenario.h
+++ b/src/load/scenario.h
@@ -1,4 +1,4 @@
-/* A load scenario: groups of callers, and the requests that they send at given times. */
+/* Load scenarios: groups of callers and the requests that they send. */
 #ifndef RHUBARBTRAIL_LOAD_SCENARIO_H
 #define RHUBARBTRAIL_LOAD_SCENARIO_H
 
@@ -11,18 +11,19 @@
 
 namespace rhubarbtrail {
 
-/* Callers that send alike: a burst at each daemon, or a steady rate over all daemons. */
+/* Callers with the same behaviour: they send a burst to each daemon, requests at a steady rate that
+ * are spread over all daemons, or both. */
 struct LoadGroup
 {
   std::string name;
   std::string key;                 ///< API key of the customer.
   std::vector<std::string> models; ///< Chosen at random for each request.
-  std::uint32_t burst = 0;         ///< Requests at each daemon at the start.
-  double rate = 0;                 ///< Requests a second, at random distances.
-  double start = 0;                ///< Seconds from the beginning.
-  double end = 0;                  ///< Of the steady rate, in seconds from the beginning.
-  std::uint32_t tokens = 8;
-  bool stream = false;
+  std::uint32_t burst = 0; ///< Number of requests that are sent to each daemon at the start.
+  double rate = 0;  ///< Mean requests per second to all daemons together, at random intervals.
+  double start = 0; ///< Of the burst and the steady rate, in seconds after the start of the run.
+  double end = 0;   ///< Of the steady rate, in seconds after the start of the run.
+  std::uint32_t tokens = 8; ///< Limit of the tokens in each answer.
+  bool stream = false;      ///< Whether answers are requested as streams of events.
 };
 
 struct Scenario
@@ -32,19 +33,20 @@
   std::vector<LoadGroup> groups;
 };
 
-/* One request, at its intended time. */
+/* One request of a scenario. */
 struct PlannedRequest
 {
-  Duration at{};
-  std::size_t group = 0;
-  std::size_t daemon = 0;
+  Duration at{};          ///< Planned start, relative to the start of the run.
+  std::size_t group = 0;  ///< Index in Scenario::groups.
+  std::size_t daemon = 0; ///< Index of the daemon that gets the request.
   std::string model;
 };
 
-/* Reads a scenario from YAML text; the error says what is wrong. */
+/* Parses a scenario from YAML text. The error says what is wrong with it. */
 tl::expected<Scenario, std::string> ParseScenario(const std::string& aText);
 
-/* Plans all requests in order of time; the same seed gives the same plan. */
+/* Plans all requests for a number of daemons, ordered by start time. The same scenario and seed
+ * give the same plan. */
 std::vector<PlannedRequest> PlanRequests(const Scenario& aScenario, std::size_t aDaemons);
 
 } // namespace rhubarbtrail
