--- a/src/load/load_commands.cpp
+++ b/src/load/load_commands.cpp
@@ -27,46 +27,47 @@
 
 void LoadCommands::Add(CLI::App& aApp)
 {
-  mLoad = aApp.add_subcommand("load", "Send the requests of a scenario to daemons.");
-  mLoad->add_option("--scenario", mScenario, "Scenario file (YAML).");
-  mLoad->add_option("--daemon", mDaemons, "host:port of a daemon's caller API; repeatable.");
-  mLoad->add_option("--out", mOut, "File for the report as JSON.");
-  mCompare = mLoad->add_subcommand("compare", "Put two reports side by side.");
-  mCompare->add_option("first", mFirst, "Report A.")->required();
-  mCompare->add_option("second", mSecond, "Report B.")->required();
+  mLoadCommand = aApp.add_subcommand("load", "Send the requests of a scenario to daemons.");
+  mLoadCommand->add_option("--scenario", mScenarioFile, "Scenario file (YAML).");
+  mLoadCommand->add_option(
+    "--daemon", mDaemonAddresses, "host:port of a daemon's caller API; repeatable.");
+  mLoadCommand->add_option("--out", mReportFile, "File for the report as JSON.");
+  mCompareCommand = mLoadCommand->add_subcommand("compare", "Put two reports side by side.");
+  mCompareCommand->add_option("first", mFirstReport, "Report A.")->required();
+  mCompareCommand->add_option("second", mSecondReport, "Report B.")->required();
 }
 
 bool LoadCommands::IsParsed() const
 {
-  return mLoad->parsed();
+  return mLoadCommand->parsed();
 }
 
 int LoadCommands::Run() const
 {
-  return mCompare->parsed() ? Compare() : RunLoad();
+  return mCompareCommand->parsed() ? Compare() : RunLoad();
 }
 
 int LoadCommands::RunLoad() const
 {
-  const auto scenario = ParseScenario(ReadFile(mScenario));
-  if (!scenario || mDaemons.empty()) {
+  const auto scenario = ParseScenario(ReadFile(mScenarioFile));
+  if (!scenario || mDaemonAddresses.empty()) {
     const std::string reason = scenario ? "no --daemon was given" : scenario.error();
-    std::fprintf(stderr, "%s: %s\n", mScenario.c_str(), reason.c_str());
+    std::fprintf(stderr, "%s: %s\n", mScenarioFile.c_str(), reason.c_str());
     return kExitBadInput;
   }
   std::fprintf(stderr, "seed %llu\n", static_cast<unsigned long long>(scenario->seed));
-  const nlohmann::json report = MakeReport(*scenario, RunScenario(*scenario, mDaemons));
+  const nlohmann::json report = MakeReport(*scenario, RunScenario(*scenario, mDaemonAddresses));
   std::fputs(FormatReport(report).c_str(), stdout);
-  if (!mOut.empty()) {
-    std::ofstream(mOut) << report.dump(1) << '\n';
+  if (!mReportFile.empty()) {
+    std::ofstream(mReportFile) << report.dump(1) << '\n';
   }
   return 0;
 }
 
 int LoadCommands::Compare() const
 {
-  const auto first = nlohmann::json::parse(ReadFile(mFirst), nullptr, false);
-  const auto second = nlohmann::json::parse(ReadFile(mSecond), nullptr, false);
+  const auto first = nlohmann::json::parse(ReadFile(mFirstReport), nullptr, false);
+  const auto second = nlohmann::json::parse(ReadFile(mSecondReport), nullptr, false);
   if (first.is_discarded() || second.is_discarded()) {
     std::fputs("A report cannot be read.\n", stderr);
     return kExitBadInput;
--- a/src/load/load_commands.h
+++ b/src/load/load_commands.h
@@ -28,13 +28,13 @@
   int RunLoad() const;
   int Compare() const;
 
-  CLI::App* mLoad = nullptr;
-  CLI::App* mCompare = nullptr;
-  std::string mScenario;
-  std::vector<std::string> mDaemons;
-  std::string mOut;
-  std::string mFirst;
-  std::string mSecond;
+  CLI::App* mLoadCommand = nullptr;
+  CLI::App* mCompareCommand = nullptr;
+  std::string mScenarioFile;
+  std::vector<std::string> mDaemonAddresses;
+  std::string mReportFile;
+  std::string mFirstReport;
+  std::string mSecondReport;
 };
 
 } // namespace rhubarbtrail
--- a/src/load/load_report.cpp
+++ b/src/load/load_report.cpp
@@ -14,46 +14,50 @@
 
 using nlohmann::json;
 
-constexpr std::array kFigures{ "first_byte_min_s", "first_byte_p99_s", "p50_s", "p95_s", "p99_s" };
+constexpr std::array kLatencyFields{ "first_byte_min_s",
+                                     "first_byte_p99_s",
+                                     "p50_s",
+                                     "p95_s",
+                                     "p99_s" };
 
-/* Returns a percentile by the nearest-rank method, or 0 if there are no values. aShare is a
+/* Returns a percentile by the nearest-rank method, or 0 if there are no values. aFraction is a
  * fraction from 0, which gives the minimum, to 1. */
-double Percentile(const std::vector<double>& aSorted, double aShare)
+double Percentile(const std::vector<double>& aSorted, double aFraction)
 {
   if (aSorted.empty()) {
     return 0;
   }
-  const double rank = std::ceil(aShare * static_cast<double>(aSorted.size()));
+  const double rank = std::ceil(aFraction * static_cast<double>(aSorted.size()));
   return aSorted[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-json ReportGroup(const LoadGroup& aGroup, const std::vector<const RequestOutcome*>& aOutcomes)
+json MakeGroupReport(const LoadGroup& aGroup, const std::vector<const RequestOutcome*>& aOutcomes)
 {
-  std::vector<double> whole;
-  std::vector<double> first;
+  std::vector<double> totalTimes;
+  std::vector<double> firstByteTimes;
   std::map<std::string, std::uint64_t> statuses;
   for (const RequestOutcome* outcome : aOutcomes) {
     ++statuses[std::to_string(outcome->status)];
     if (outcome->status == 200) {
-      whole.push_back(outcome->seconds);
-      first.push_back(outcome->firstByteSeconds);
+      totalTimes.push_back(outcome->totalSeconds);
+      firstByteTimes.push_back(outcome->firstByteSeconds);
     }
   }
-  std::sort(whole.begin(), whole.end());
-  std::sort(first.begin(), first.end());
+  std::sort(totalTimes.begin(), totalTimes.end());
+  std::sort(firstByteTimes.begin(), firstByteTimes.end());
   return { { "name", aGroup.name },
            { "requests", aOutcomes.size() },
            { "statuses", statuses },
-           { "first_byte_min_s", Percentile(first, 0) },
-           { "first_byte_p99_s", Percentile(first, 0.99) },
-           { "p50_s", Percentile(whole, 0.50) },
-           { "p95_s", Percentile(whole, 0.95) },
-           { "p99_s", Percentile(whole, 0.99) } };
+           { "first_byte_min_s", Percentile(firstByteTimes, 0) },
+           { "first_byte_p99_s", Percentile(firstByteTimes, 0.99) },
+           { "p50_s", Percentile(totalTimes, 0.50) },
+           { "p95_s", Percentile(totalTimes, 0.95) },
+           { "p99_s", Percentile(totalTimes, 0.99) } };
 }
 
 /* Formats a text as printf() does. Longer texts are cut to 255 characters. */
 template<typename... Values>
-std::string Format(const char* aFormat, Values... aValues)
+std::string FormatText(const char* aFormat, Values... aValues)
 {
   std::array<char, 256> line{};
   const int length = std::snprintf(line.data(), line.size(), aFormat, aValues...);
@@ -72,7 +76,7 @@
         outcomes.push_back(&outcome);
       }
     }
-    groups.push_back(ReportGroup(aScenario.groups[index], outcomes));
+    groups.push_back(MakeGroupReport(aScenario.groups[index], outcomes));
   }
   return { { "scenario", aScenario.name }, { "seed", aScenario.seed }, { "groups", groups } };
 }
@@ -80,20 +84,20 @@
 std::string FormatReport(const json& aReport)
 {
   std::string text =
-    Format("scenario %s, seed %llu\n",
-           aReport.at("scenario").get<std::string>().c_str(),
-           static_cast<unsigned long long>(aReport.at("seed").get<std::uint64_t>()));
-  text += Format("%-16s %8s", "group", "requests");
-  for (const char* figure : kFigures) {
-    text += Format(" %16s", figure);
+    FormatText("scenario %s, seed %llu\n",
+               aReport.at("scenario").get<std::string>().c_str(),
+               static_cast<unsigned long long>(aReport.at("seed").get<std::uint64_t>()));
+  text += FormatText("%-16s %8s", "group", "requests");
+  for (const char* field : kLatencyFields) {
+    text += FormatText(" %16s", field);
   }
   text += "  statuses\n";
   for (const json& group : aReport.at("groups")) {
-    text += Format("%-16s %8llu",
-                   group.at("name").get<std::string>().c_str(),
-                   static_cast<unsigned long long>(group.at("requests").get<std::uint64_t>()));
-    for (const char* figure : kFigures) {
-      text += Format(" %16.3f", group.at(figure).get<double>());
+    text += FormatText("%-16s %8llu",
+                       group.at("name").get<std::string>().c_str(),
+                       static_cast<unsigned long long>(group.at("requests").get<std::uint64_t>()));
+    for (const char* field : kLatencyFields) {
+      text += FormatText(" %16.3f", group.at(field).get<double>());
     }
     text += "  " + group.at("statuses").dump() + "\n";
   }
@@ -102,21 +106,22 @@
 
 std::string CompareReports(const json& aFirst, const json& aSecond)
 {
-  std::string text = Format("%-16s %-18s %10s %10s %8s\n", "group", "figure", "A", "B", "B / A");
+  std::string text =
+    FormatText("%-16s %-18s %10s %10s %8s\n", "group", "figure", "A", "B", "B / A");
   for (const json& first : aFirst.at("groups")) {
     for (const json& second : aSecond.at("groups")) {
       if (first.at("name") != second.at("name")) {
         continue;
       }
-      for (const char* figure : kFigures) {
-        const double left = first.at(figure).get<double>();
-        const double right = second.at(figure).get<double>();
-        text += Format("%-16s %-18s %10.3f %10.3f %8.2f\n",
-                       first.at("name").get<std::string>().c_str(),
-                       figure,
-                       left,
-                       right,
-                       left > 0 ? right / left : 0.0);
+      for (const char* field : kLatencyFields) {
+        const double left = first.at(field).get<double>();
+        const double right = second.at(field).get<double>();
+        text += FormatText("%-16s %-18s %10.3f %10.3f %8.2f\n",
+                           first.at("name").get<std::string>().c_str(),
+                           field,
+                           left,
+                           right,
+                           left > 0 ? right / left : 0.0);
       }
     }
   }
--- a/src/load/load_report.h
+++ b/src/load/load_report.h
@@ -17,7 +17,7 @@
   std::size_t group = 0;       ///< Index in Scenario::groups.
   int status = 0;              ///< HTTP status, 0 if no complete answer was received.
   double firstByteSeconds = 0; ///< Until the first byte of the body, 0 if none was received.
-  double seconds = 0;          ///< Until the end of the answer.
+  double totalSeconds = 0;     ///< Until the end of the answer.
 };
 
 /* Counts the requests of each group by status and computes latency percentiles. The percentiles
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -18,9 +18,9 @@
 
 /* Limit of the requests of one group in progress. Further requests wait, and the wait counts in
  * their latency. */
-constexpr std::size_t kWorkerLimit = 512;
+constexpr std::size_t kMaxWorkersPerGroup = 512;
 /* Longest wait for the next bytes of an answer. */
-constexpr std::chrono::seconds kAnswerTimeout{ 120 };
+constexpr std::chrono::seconds kReadTimeout{ 120 };
 constexpr std::chrono::seconds kProgressInterval{ 1 };
 
 double SecondsSince(Clock::time_point aStart)
@@ -30,16 +30,16 @@
 
 RequestOutcome Send(const LoadGroup& aGroup,
                     const PlannedRequest& aPlanned,
-                    const std::string& aDaemon,
-                    Clock::time_point aIntended)
+                    const std::string& aAddress,
+                    Clock::time_point aPlannedStart)
 {
-  httplib::Client client("http://" + aDaemon);
-  client.set_read_timeout(kAnswerTimeout);
+  httplib::Client client("http://" + aAddress);
+  client.set_read_timeout(kReadTimeout);
   RequestOutcome outcome{ .group = aPlanned.group };
   const nlohmann::json body{
     { "model", aPlanned.model },
     { "messages", { { { "role", "user" }, { "content", "hello" } } } },
-    { "max_tokens", aGroup.tokens },
+    { "max_tokens", aGroup.maxTokens },
     { "stream", aGroup.stream },
   };
   httplib::Request request;
@@ -50,53 +50,53 @@
   request.body = body.dump();
   request.content_receiver = [&](const char*, std::size_t, std::uint64_t, std::uint64_t) {
     if (outcome.firstByteSeconds == 0) {
-      outcome.firstByteSeconds = SecondsSince(aIntended);
+      outcome.firstByteSeconds = SecondsSince(aPlannedStart);
     }
     return true;
   };
   const auto result = client.send(request);
   outcome.status = result ? result->status : 0;
-  outcome.seconds = SecondsSince(aIntended);
+  outcome.totalSeconds = SecondsSince(aPlannedStart);
   return outcome;
 }
 
 } // namespace
 
 std::vector<RequestOutcome> RunScenario(const Scenario& aScenario,
-                                        const std::vector<std::string>& aDaemons)
+                                        const std::vector<std::string>& aDaemonAddresses)
 {
-  const auto plan = PlanRequests(aScenario, aDaemons.size());
+  const auto plan = PlanRequests(aScenario, aDaemonAddresses.size());
   std::vector<RequestOutcome> outcomes(plan.size());
-  std::atomic<std::size_t> done = 0;
+  std::atomic<std::size_t> endedCount = 0;
   // The delay leaves time to start the worker threads.
   const Clock::time_point start = Clock::now() + std::chrono::milliseconds{ 200 };
   // Each group has its own workers, so that the many requests of one group do not delay those of
   // another.
-  std::vector<std::vector<std::size_t>> byGroup(aScenario.groups.size());
+  std::vector<std::vector<std::size_t>> requestsByGroup(aScenario.groups.size());
   for (std::size_t i = 0; i < plan.size(); ++i) {
-    byGroup[plan[i].group].push_back(i);
+    requestsByGroup[plan[i].group].push_back(i);
   }
-  std::vector<std::atomic<std::size_t>> next(byGroup.size());
-  const auto work = [&](std::size_t aGroup) {
-    const std::vector<std::size_t>& indices = byGroup[aGroup];
-    for (std::size_t n = next[aGroup]++; n < indices.size(); n = next[aGroup]++) {
+  std::vector<std::atomic<std::size_t>> nextInGroup(requestsByGroup.size());
+  const auto sendRequestsOf = [&](std::size_t aGroup) {
+    const std::vector<std::size_t>& indices = requestsByGroup[aGroup];
+    for (std::size_t n = nextInGroup[aGroup]++; n < indices.size(); n = nextInGroup[aGroup]++) {
       const PlannedRequest& planned = plan[indices[n]];
-      const Clock::time_point intended = start + planned.at;
-      std::this_thread::sleep_until(intended);
+      const Clock::time_point plannedStart = start + planned.plannedStart;
+      std::this_thread::sleep_until(plannedStart);
       outcomes[indices[n]] =
-        Send(aScenario.groups[aGroup], planned, aDaemons[planned.daemon], intended);
-      ++done;
+        Send(aScenario.groups[aGroup], planned, aDaemonAddresses[planned.daemon], plannedStart);
+      ++endedCount;
     }
   };
   std::vector<std::jthread> workers;
-  for (std::size_t group = 0; group < byGroup.size(); ++group) {
-    for (std::size_t i = 0; i < std::min(byGroup[group].size(), kWorkerLimit); ++i) {
-      workers.emplace_back(work, group);
+  for (std::size_t group = 0; group < requestsByGroup.size(); ++group) {
+    for (std::size_t i = 0; i < std::min(requestsByGroup[group].size(), kMaxWorkersPerGroup); ++i) {
+      workers.emplace_back(sendRequestsOf, group);
     }
   }
-  while (done < plan.size()) {
+  while (endedCount < plan.size()) {
     std::this_thread::sleep_for(kProgressInterval);
-    std::fprintf(stderr, "%zu of %zu requests answered\n", done.load(), plan.size());
+    std::fprintf(stderr, "%zu of %zu requests answered\n", endedCount.load(), plan.size());
   }
   return outcomes;
 }
--- a/src/load/load_run.h
+++ b/src/load/load_run.h
@@ -10,10 +10,10 @@
 namespace rhubarbtrail {
 
 /* Sends each request of a scenario at its planned time and returns the results when all requests
- * have ended. aDaemons are the addresses (host:port) of the daemons' caller APIs. Prints the
- * progress to standard error. */
+ * have ended. aDaemonAddresses are the addresses (host:port) of the daemons' caller APIs. Prints
+ * the progress to standard error. */
 std::vector<RequestOutcome> RunScenario(const Scenario& aScenario,
-                                        const std::vector<std::string>& aDaemons);
+                                        const std::vector<std::string>& aDaemonAddresses);
 
 } // namespace rhubarbtrail
 
--- a/src/load/scenario.h
+++ b/src/load/scenario.h
@@ -18,12 +18,16 @@
   std::string name;
   std::string key;                 ///< API key of the customer.
   std::vector<std::string> models; ///< Chosen at random for each request.
-  std::uint32_t burst = 0; ///< Number of requests that are sent to each daemon at the start.
-  double rate = 0;  ///< Mean requests per second to all daemons together, at random intervals.
-  double start = 0; ///< Of the burst and the steady rate, in seconds after the start of the run.
-  double end = 0;   ///< Of the steady rate, in seconds after the start of the run.
-  std::uint32_t tokens = 8; ///< Limit of the tokens in each answer.
-  bool stream = false;      ///< Whether answers are requested as streams of events.
+  /* Number of requests that are sent to each daemon at the start. */
+  std::uint32_t burstSize = 0;
+  /* Mean rate of the requests to all daemons together, at random intervals. */
+  double requestsPerSecond = 0;
+  /* Start of the burst and of the steady rate, relative to the start of the run. */
+  double startSeconds = 0;
+  /* End of the steady rate, relative to the start of the run. */
+  double endSeconds = 0;
+  std::uint32_t maxTokens = 8; ///< Limit of the tokens in each answer.
+  bool stream = false;         ///< Whether answers are requested as streams of events.
 };
 
 struct Scenario
@@ -36,9 +40,9 @@
 /* One request of a scenario. */
 struct PlannedRequest
 {
-  Duration at{};          ///< Planned start, relative to the start of the run.
-  std::size_t group = 0;  ///< Index in Scenario::groups.
-  std::size_t daemon = 0; ///< Index of the daemon that gets the request.
+  Duration plannedStart{}; ///< Relative to the start of the run.
+  std::size_t group = 0;   ///< Index in Scenario::groups.
+  std::size_t daemon = 0;  ///< Index of the daemon that gets the request.
   std::string model;
 };
 
@@ -47,7 +51,7 @@
 
 /* Plans all requests for a number of daemons, ordered by start time. The same scenario and seed
  * give the same plan. */
-std::vector<PlannedRequest> PlanRequests(const Scenario& aScenario, std::size_t aDaemons);
+std::vector<PlannedRequest> PlanRequests(const Scenario& aScenario, std::size_t aDaemonCount);
 
 } // namespace rhubarbtrail
 
--- a/tests/unit/load_scenario_test.cpp
+++ b/tests/unit/load_scenario_test.cpp
@@ -40,15 +40,15 @@
   const auto again = PlanRequests(*scenario, 4);
   REQUIRE(plan.size() == again.size());
   for (std::size_t i = 0; i < plan.size(); ++i) {
-    CHECK(plan[i].at == again[i].at);
+    CHECK(plan[i].plannedStart == again[i].plannedStart);
     CHECK(plan[i].model == again[i].model);
-    CHECK((i == 0 || plan[i - 1].at <= plan[i].at));
+    CHECK((i == 0 || plan[i - 1].plannedStart <= plan[i].plannedStart));
   }
   const auto burst = std::count_if(
     plan.begin(), plan.end(), [](const PlannedRequest& aRequest) { return aRequest.group == 0; });
   CHECK(burst == 12);
   scenario->seed = 6;
-  CHECK(PlanRequests(*scenario, 4).back().at != plan.back().at);
+  CHECK(PlanRequests(*scenario, 4).back().plannedStart != plan.back().plannedStart);
 }
 
 TEST_CASE("a report counts refusals apart from answers")
