--- a/src/config/configuration_check.cpp
+++ b/src/config/configuration_check.cpp
@@ -22,29 +22,31 @@
   }
   const auto found = aConfiguration.services.find(aModel.service);
   if (found == aConfiguration.services.end()) {
-    aReader.FailAt(path + ".service", "names the unknown service '" + aModel.service.str() + "'");
+    aReader.AddErrorAt(path + ".service",
+                       "names the unknown service '" + aModel.service.str() + "'");
     return;
   }
   const ServiceSpec& service = found->second;
   if (service.kind != ServiceKind::kModels) {
-    aReader.FailAt(path + ".service", "names the plain service '" + service.id.str() + "'");
+    aReader.AddErrorAt(path + ".service", "names the plain service '" + service.id.str() + "'");
     return;
   }
-  const MemoryMb needed = ReservedMemory(aModel);
-  const MemoryMb available = service.runnerMemory - service.kvCacheReserve;
-  if (service.kvCacheReserve < service.runnerMemory && needed > available) {
-    aReader.FailAt(path + ".memory_mb",
-                   "needs " + std::to_string(needed.value) +
-                     " MB with its adapters; a runner has " + std::to_string(available.value) +
-                     " MB for weights");
+  const MemoryMb requiredMemory = ReservedMemory(aModel);
+  const MemoryMb availableMemory = service.runnerMemory - service.kvCacheReserve;
+  if (service.kvCacheReserve < service.runnerMemory && requiredMemory > availableMemory) {
+    aReader.AddErrorAt(path + ".memory_mb",
+                       "needs " + std::to_string(requiredMemory.value) +
+                         " MB with its adapters; a runner has " +
+                         std::to_string(availableMemory.value) + " MB for weights");
   }
-  Duration longest{};
+  Duration longestDeadline{};
   for (const auto& [id, requestClass] : aConfiguration.classes) {
-    longest = std::max(longest, requestClass.deadline);
+    longestDeadline = std::max(longestDeadline, requestClass.deadline);
   }
-  if (longest.count() > 0 && aModel.expectedLoad >= longest) {
-    aReader.FailAt(path + ".expected_load_ms",
-                   "is not shorter than any class's deadline, so no cold request can be answered");
+  if (longestDeadline.count() > 0 && aModel.expectedLoad >= longestDeadline) {
+    aReader.AddErrorAt(
+      path + ".expected_load_ms",
+      "is not shorter than any class's deadline, so no cold request can be answered");
   }
 }
 
@@ -64,13 +66,14 @@
     const RouteSpec& route = aService.routes[index];
     const std::string path = aPath + ".routes[" + std::to_string(index) + "]";
     if (!route.requestClass.empty() && !aConfiguration.classes.contains(route.requestClass)) {
-      aReader.FailAt(path + ".class", "names the unknown class '" + route.requestClass.str() + "'");
+      aReader.AddErrorAt(path + ".class",
+                         "names the unknown class '" + route.requestClass.str() + "'");
     }
     for (std::size_t earlier = 0; earlier < index; ++earlier) {
       if (!route.pathPrefix.empty() && !aService.routes[earlier].pathPrefix.empty() &&
           IsShadowed(aService.routes[earlier], route)) {
-        aReader.FailAt(path,
-                       "is never reached: routes[" + std::to_string(earlier) + "] comes first");
+        aReader.AddErrorAt(path,
+                           "is never reached: routes[" + std::to_string(earlier) + "] comes first");
         break;
       }
     }
@@ -85,21 +88,21 @@
   if (aService.kind == ServiceKind::kPlain) {
     for (const char* key :
          { "orders", "runner_memory_mb", "kv_cache_reserve_mb", "store", "keep_alive" }) {
-      if (aReader.Has(path + "." + key)) {
-        aReader.FailAt(path + "." + key, "is for services of the kind models");
+      if (aReader.HasPath(path + "." + key)) {
+        aReader.AddErrorAt(path + "." + key, "is for services of the kind models");
       }
     }
     if (aService.routes.empty()) {
-      aReader.FailAt(path + ".routes", "a plain service needs at least one route");
+      aReader.AddErrorAt(path + ".routes", "a plain service needs at least one route");
     }
     CheckRoutes(aReader, aConfiguration, aService, path);
     return;
   }
-  if (aReader.Has(path + ".routes")) {
-    aReader.FailAt(path + ".routes", "is for services of the kind plain");
+  if (aReader.HasPath(path + ".routes")) {
+    aReader.AddErrorAt(path + ".routes", "is for services of the kind plain");
   }
   if (aService.kvCacheReserve >= aService.runnerMemory) {
-    aReader.FailAt(path + ".kv_cache_reserve_mb", "leaves no memory for weights");
+    aReader.AddErrorAt(path + ".kv_cache_reserve_mb", "leaves no memory for weights");
   }
 }
 
@@ -111,39 +114,39 @@
 {
   for (const ModelId& model : aCustomer.models) {
     if (!aConfiguration.models.contains(model)) {
-      aReader.FailAt(aPath + ".models", "names the unknown model '" + model.str() + "'");
+      aReader.AddErrorAt(aPath + ".models", "names the unknown model '" + model.str() + "'");
     }
   }
   for (const ServiceId& service : aCustomer.services) {
     const auto found = aConfiguration.services.find(service);
     if (found == aConfiguration.services.end()) {
-      aReader.FailAt(aPath + ".services", "names the unknown service '" + service.str() + "'");
+      aReader.AddErrorAt(aPath + ".services", "names the unknown service '" + service.str() + "'");
     } else if (found->second.kind != ServiceKind::kPlain) {
-      aReader.FailAt(aPath + ".services",
-                     "'" + service.str() + "' serves models; list them under models");
+      aReader.AddErrorAt(aPath + ".services",
+                         "'" + service.str() + "' serves models; list them under models");
     }
   }
-  const bool mayCall =
-    aCustomer.allModels || aReader.Has(aPath + ".models[0]") || aReader.Has(aPath + ".services[0]");
-  if (!mayCall) {
-    aReader.FailAt(aPath, "may call nothing: neither models nor services are listed");
+  const bool hasGrants = aCustomer.allModels || aReader.HasPath(aPath + ".models[0]") ||
+                         aReader.HasPath(aPath + ".services[0]");
+  if (!hasGrants) {
+    aReader.AddErrorAt(aPath, "may call nothing: neither models nor services are listed");
   }
 }
 
 void CheckCustomers(DocumentReader& aReader, const Configuration& aConfiguration)
 {
-  std::map<std::string, CustomerId> owners;
+  std::map<std::string, CustomerId> ownerByKeyHash;
   for (const auto& [id, customer] : aConfiguration.customers) {
     const std::string path = "customers." + id.str();
     CheckGrants(aReader, aConfiguration, customer, path);
-    if (!aReader.Has(path + ".key_hashes[0]")) {
-      aReader.FailAt(path + ".key_hashes", "needs at least one key hash");
+    if (!aReader.HasPath(path + ".key_hashes[0]")) {
+      aReader.AddErrorAt(path + ".key_hashes", "needs at least one key hash");
     }
     for (const std::string& hash : customer.keyHashes) {
-      const auto [owner, isNew] = owners.emplace(hash, id);
+      const auto [owner, isNew] = ownerByKeyHash.emplace(hash, id);
       if (!isNew) {
-        aReader.FailAt(path + ".key_hashes",
-                       "shares a key with customer '" + owner->second.str() + "'");
+        aReader.AddErrorAt(path + ".key_hashes",
+                           "shares a key with customer '" + owner->second.str() + "'");
       }
     }
   }
@@ -154,9 +157,9 @@
 void CheckConfiguration(DocumentReader& aReader, const Configuration& aConfiguration)
 {
   if (aConfiguration.classes.empty()) {
-    aReader.FailAt("classes", "at least one request class is needed");
+    aReader.AddErrorAt("classes", "at least one request class is needed");
   } else if (!aConfiguration.models.empty() && !aConfiguration.classes.contains(kDefaultClass)) {
-    aReader.FailAt("classes", "the class 'default' is needed for requests that name none");
+    aReader.AddErrorAt("classes", "the class 'default' is needed for requests that name none");
   }
   for (const auto& [id, service] : aConfiguration.services) {
     CheckService(aReader, aConfiguration, service);
--- a/src/config/configuration_diff.cpp
+++ b/src/config/configuration_diff.cpp
@@ -16,12 +16,12 @@
 /* The parts of a configuration, by path, such as "models.NAME". */
 using Parts = std::map<std::string, Fields>;
 
-std::string Milliseconds(Duration aDuration)
+std::string FormatMilliseconds(Duration aDuration)
 {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count());
 }
 
-std::string Show(double aNumber)
+std::string FormatNumber(double aNumber)
 {
   std::ostringstream text;
   text << aNumber;
@@ -29,7 +29,7 @@
 }
 
 template<typename Ids>
-std::string Join(const Ids& aIds)
+std::string JoinIds(const Ids& aIds)
 {
   std::string text;
   for (const auto& id : aIds) {
@@ -40,27 +40,28 @@
 
 void AddKeepAlive(Fields& aFields, const KeepAlivePolicy& aPolicy)
 {
-  std::visit(Overloaded{ [&](const FixedKeepAlive& aFixed) {
-                          aFields["keep_alive.policy"] = "fixed";
-                          aFields["keep_alive.idle_limit_ms"] = Milliseconds(aFixed.idleLimit);
-                        },
-                         [&](const HistogramKeepAlive& aHistogram) {
-                           aFields["keep_alive.policy"] = "histogram";
-                           aFields["keep_alive.percentile"] = std::to_string(aHistogram.percentile);
-                           aFields["keep_alive.minimum_ms"] = Milliseconds(aHistogram.minimum);
-                           aFields["keep_alive.maximum_ms"] = Milliseconds(aHistogram.maximum);
-                         },
-                         [&](const CostAwareKeepAlive& aCost) {
-                           aFields["keep_alive.policy"] = "cost_aware";
-                           aFields["keep_alive.cold_start_weight"] = Show(aCost.coldStartWeight);
-                         } },
-             aPolicy);
+  std::visit(
+    Overloaded{ [&](const FixedKeepAlive& aFixed) {
+                 aFields["keep_alive.policy"] = "fixed";
+                 aFields["keep_alive.idle_limit_ms"] = FormatMilliseconds(aFixed.idleLimit);
+               },
+                [&](const HistogramKeepAlive& aHistogram) {
+                  aFields["keep_alive.policy"] = "histogram";
+                  aFields["keep_alive.percentile"] = std::to_string(aHistogram.percentile);
+                  aFields["keep_alive.minimum_ms"] = FormatMilliseconds(aHistogram.minimum);
+                  aFields["keep_alive.maximum_ms"] = FormatMilliseconds(aHistogram.maximum);
+                },
+                [&](const CostAwareKeepAlive& aCost) {
+                  aFields["keep_alive.policy"] = "cost_aware";
+                  aFields["keep_alive.cold_start_weight"] = FormatNumber(aCost.coldStartWeight);
+                } },
+    aPolicy);
 }
 
-Fields FieldsOf(const ServiceSpec& aService)
+Fields ToFields(const ServiceSpec& aService)
 {
   Fields fields{ { "endpoint_concurrency", std::to_string(aService.endpointConcurrency) },
-                 { "drained", Join(aService.drained) } };
+                 { "drained", JoinIds(aService.drained) } };
   if (aService.kind == ServiceKind::kPlain) {
     fields["kind"] = "plain";
     for (const RouteSpec& route : aService.routes) {
@@ -75,63 +76,63 @@
   fields["runner_memory_mb"] = std::to_string(aService.runnerMemory.value);
   fields["kv_cache_reserve_mb"] = std::to_string(aService.kvCacheReserve.value);
   fields["store.concurrent_loads"] = std::to_string(aService.store.concurrentLoads);
-  fields["store.loads_per_second"] = Show(aService.store.loadsPerSecond);
+  fields["store.loads_per_second"] = FormatNumber(aService.store.loadsPerSecond);
   fields["store.adapters_in_transit"] = std::to_string(aService.store.adaptersInTransit);
   AddKeepAlive(fields, aService.keepAlive);
   return fields;
 }
 
-Fields FieldsOf(const ModelSpec& aModel)
+Fields ToFields(const ModelSpec& aModel)
 {
   return { { "service", aModel.service.str() },
            { "version", aModel.version },
            { "memory_mb", std::to_string(aModel.memory.value) },
-           { "expected_load_ms", Milliseconds(aModel.expectedLoad) },
+           { "expected_load_ms", FormatMilliseconds(aModel.expectedLoad) },
            { "max_replicas", std::to_string(aModel.maxReplicas) } };
 }
 
-Fields FieldsOf(const ClassSpec& aClass)
+Fields ToFields(const ClassSpec& aClass)
 {
   return { { "priority", std::to_string(aClass.priority) },
-           { "deadline_ms", Milliseconds(aClass.deadline) },
+           { "deadline_ms", FormatMilliseconds(aClass.deadline) },
            { "repeat", aClass.repeatability == Repeatability::kAtMostOnce ? "never" : "allowed" } };
 }
 
-Fields FieldsOf(const CustomerSpec& aCustomer)
+Fields ToFields(const CustomerSpec& aCustomer)
 {
   auto hashes = aCustomer.keyHashes;
   std::sort(hashes.begin(), hashes.end());
   std::string keys;
-  constexpr std::size_t kShownDigits = 12;
+  constexpr std::size_t kShownHashDigits = 12;
   for (const std::string& hash : hashes) {
-    keys += (keys.empty() ? "" : ", ") + hash.substr(0, kShownDigits);
+    keys += (keys.empty() ? "" : ", ") + hash.substr(0, kShownHashDigits);
   }
   return { { "key_hashes", "[" + keys + "]" },
-           { "models", aCustomer.allModels ? "all" : Join(aCustomer.models) },
-           { "services", Join(aCustomer.services) },
+           { "models", aCustomer.allModels ? "all" : JoinIds(aCustomer.models) },
+           { "services", JoinIds(aCustomer.services) },
            { "weight", std::to_string(aCustomer.weight) },
            { "queue_limit", std::to_string(aCustomer.queueLimit) } };
 }
 
-Parts PartsOf(const Configuration& aConfiguration)
+Parts ToParts(const Configuration& aConfiguration)
 {
   Parts parts;
   for (const auto& [id, service] : aConfiguration.services) {
-    parts["services." + id.str()] = FieldsOf(service);
+    parts["services." + id.str()] = ToFields(service);
   }
   for (const auto& [id, model] : aConfiguration.models) {
     const std::string path = "models." + id.str();
-    parts[path] = FieldsOf(model);
+    parts[path] = ToFields(model);
     for (const auto& [adapterId, adapter] : model.adapters) {
       parts[path + ".adapters." + adapterId.str()] = { { "memory_mb",
                                                          std::to_string(adapter.memory.value) } };
     }
   }
   for (const auto& [id, requestClass] : aConfiguration.classes) {
-    parts["classes." + id.str()] = FieldsOf(requestClass);
+    parts["classes." + id.str()] = ToFields(requestClass);
   }
   for (const auto& [id, customer] : aConfiguration.customers) {
-    parts["customers." + id.str()] = FieldsOf(customer);
+    parts["customers." + id.str()] = ToFields(customer);
   }
   return parts;
 }
@@ -143,13 +144,13 @@
                 const Fields& aAfter,
                 std::vector<ConfigurationChange>& aOut)
 {
-  Fields names = aBefore;
-  names.insert(aAfter.begin(), aAfter.end());
+  Fields allFields = aBefore;
+  allFields.insert(aAfter.begin(), aAfter.end());
   const auto valueIn = [](const Fields& aFields, const std::string& aName) {
     const auto found = aFields.find(aName);
     return found == aFields.end() ? std::string{ "none" } : found->second;
   };
-  for (const auto& [name, value] : names) {
+  for (const auto& [name, value] : allFields) {
     const std::string before = valueIn(aBefore, name);
     const std::string after = valueIn(aAfter, name);
     if (before != after) {
@@ -160,10 +161,11 @@
 
 } // namespace
 
-std::vector<ConfigurationChange> Diff(const Configuration& aBefore, const Configuration& aAfter)
+std::vector<ConfigurationChange> DiffConfigurations(const Configuration& aBefore,
+                                                    const Configuration& aAfter)
 {
-  const Parts before = PartsOf(aBefore);
-  const Parts after = PartsOf(aAfter);
+  const Parts before = ToParts(aBefore);
+  const Parts after = ToParts(aAfter);
   std::vector<ConfigurationChange> changes;
   for (const auto& [path, fields] : before) {
     const auto found = after.find(path);
--- a/src/config/configuration_diff.h
+++ b/src/config/configuration_diff.h
@@ -28,7 +28,8 @@
 
 /* Returns the differences ordered by path. Parsed values are compared, so neither the order and
  * layout of a document nor default values that it states explicitly count as differences. */
-std::vector<ConfigurationChange> Diff(const Configuration& aBefore, const Configuration& aAfter);
+std::vector<ConfigurationChange> DiffConfigurations(const Configuration& aBefore,
+                                                    const Configuration& aAfter);
 
 std::string_view ToString(ChangeKind aKind);
 
--- a/src/config/document_reader.cpp
+++ b/src/config/document_reader.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t kNameLimit = 128;
-constexpr std::size_t kTextLimit = 1'024;
-constexpr std::int64_t kDayMs = 86'400'000;
+constexpr std::size_t kMaxNameLength = 128;
+constexpr std::size_t kMaxTextBytes = 1'024;
+constexpr std::int64_t kMaxDurationMs = 86'400'000;
 constexpr std::int64_t kMemoryLimitMb = 10'000'000;
 
 /* Returns the line of a node, counted from 1. A node without a position has line 1. */
@@ -23,115 +23,118 @@
 {
   constexpr std::string_view kAllowed =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
-  return !aText.empty() && aText.size() <= kNameLimit &&
+  return !aText.empty() && aText.size() <= kMaxNameLength &&
          aText.find_first_not_of(kAllowed) == std::string::npos;
 }
 
 bool IsPlainText(const std::string& aText)
 {
   constexpr char kDelete = 0x7f;
-  return !aText.empty() && aText.size() <= kTextLimit &&
+  return !aText.empty() && aText.size() <= kMaxTextBytes &&
          std::none_of(aText.begin(), aText.end(), [](char aChar) {
            return (aChar >= 0 && aChar < ' ') || aChar == kDelete;
          });
 }
 
 /* Returns the text of a mapping's key, which is empty if the key is not a scalar. */
-std::string KeyOf(const YAML::Node& aKey)
+std::string KeyText(const YAML::Node& aKey)
 {
   return aKey.IsScalar() ? aKey.Scalar() : std::string{};
 }
 
 } // namespace
 
-void DocumentReader::Fail(const YAML::Node& aNode, const std::string& aPath, std::string aReason)
+void DocumentReader::AddError(const YAML::Node& aNode,
+                              const std::string& aPath,
+                              std::string aReason)
 {
-  if (aNode.IsNull() && Has(aPath)) {
-    FailAt(aPath, std::move(aReason)); // A missing value has no line, so that of its key is used.
+  if (aNode.IsNull() && HasPath(aPath)) {
+    AddErrorAt(aPath,
+               std::move(aReason)); // A missing value has no line, so that of its key is used.
     return;
   }
   mErrors.push_back({ LineOf(aNode), aPath, std::move(aReason) });
 }
 
-void DocumentReader::FailAt(const std::string& aPath, std::string aReason)
+void DocumentReader::AddErrorAt(const std::string& aPath, std::string aReason)
 {
-  std::string known = aPath;
-  while (!known.empty() && !mLines.contains(known)) {
-    const auto cut = known.find_last_of(".[");
-    known.resize(cut == std::string::npos ? 0 : cut);
+  std::string nearestPath = aPath;
+  while (!nearestPath.empty() && !mLineByPath.contains(nearestPath)) {
+    const auto separator = nearestPath.find_last_of(".[");
+    nearestPath.resize(separator == std::string::npos ? 0 : separator);
   }
-  const int line = known.empty() ? 1 : mLines.at(known);
+  const int line = nearestPath.empty() ? 1 : mLineByPath.at(nearestPath);
   mErrors.push_back({ line, aPath, std::move(aReason) });
 }
 
-void DocumentReader::Note(const YAML::Node& aNode, const std::string& aPath)
+void DocumentReader::RecordLine(const YAML::Node& aNode, const std::string& aPath)
 {
-  mLines.emplace(aPath, LineOf(aNode));
+  mLineByPath.emplace(aPath, LineOf(aNode));
 }
 
-void DocumentReader::Members(const YAML::Node& aNode,
-                             const std::string& aPath,
-                             const std::map<std::string, Handler>& aHandlers)
+void DocumentReader::ReadMembers(const YAML::Node& aNode,
+                                 const std::string& aPath,
+                                 const std::map<std::string, ValueHandler>& aHandlers)
 {
   if (!aNode.IsMap()) {
-    Fail(aNode, aPath, "must be a mapping");
+    AddError(aNode, aPath, "must be a mapping");
     return;
   }
   std::set<std::string> seen;
   for (const auto& item : aNode) {
-    const std::string name = KeyOf(item.first);
+    const std::string name = KeyText(item.first);
     const std::string path = aPath.empty() ? name : aPath + "." + name;
     const auto handler = aHandlers.find(name);
     if (handler == aHandlers.end()) {
-      Fail(item.first, path, "unknown key");
+      AddError(item.first, path, "unknown key");
       continue;
     }
     if (!seen.insert(name).second) {
-      Fail(item.first, path, "appears twice");
+      AddError(item.first, path, "appears twice");
       continue;
     }
-    Note(item.first, path);
+    RecordLine(item.first, path);
     handler->second(item.second, path);
   }
 }
 
-void DocumentReader::Entries(const YAML::Node& aNode,
-                             const std::string& aPath,
-                             const EntryHandler& aHandler)
+void DocumentReader::ReadEntries(const YAML::Node& aNode,
+                                 const std::string& aPath,
+                                 const EntryHandler& aHandler)
 {
   if (!aNode.IsMap()) {
-    Fail(aNode, aPath, "must be a mapping from names to values");
+    AddError(aNode, aPath, "must be a mapping from names to values");
     return;
   }
   std::set<std::string> seen;
   for (const auto& item : aNode) {
-    const std::string name = KeyOf(item.first);
+    const std::string name = KeyText(item.first);
     const std::string path = aPath + "." + name;
     if (!IsName(name)) {
-      Fail(item.first, path, "names have 1 to 128 letters, digits, dots, hyphens, underscores");
+      AddError(item.first, path, "names have 1 to 128 letters, digits, dots, hyphens, underscores");
       continue;
     }
     if (!seen.insert(name).second) {
-      Fail(item.first, path, "appears twice");
+      AddError(item.first, path, "appears twice");
       continue;
     }
-    Note(item.first, path);
+    RecordLine(item.first, path);
     aHandler(name, item.second, path);
   }
 }
 
-void DocumentReader::Items(const YAML::Node& aNode,
-                           const std::string& aPath,
-                           const Handler& aHandler)
+void DocumentReader::ReadItems(const YAML::Node& aNode,
+                               const std::string& aPath,
+                               const ValueHandler& aHandler)
 {
   if (!aNode.IsSequence()) {
-    Fail(aNode, aPath, "must be a list");
+    AddError(aNode, aPath, "must be a list");
     return;
   }
   std::size_t index = 0;
   for (const auto& item : aNode) {
     const std::string path = aPath + "[" + std::to_string(index++) + "]";
-    Note(item, path);
+    RecordLine(item, path);
     aHandler(item, path);
   }
 }
@@ -141,7 +144,7 @@
                                       Duration& aOut)
 {
   std::int64_t value = 0;
-  ReadNumber<std::int64_t>(aNode, aPath, 1, kDayMs, value);
+  ReadNumber<std::int64_t>(aNode, aPath, 1, kMaxDurationMs, value);
   if (value != 0) {
     aOut = std::chrono::milliseconds{ value };
   }
@@ -155,7 +158,7 @@
 void DocumentReader::ReadText(const YAML::Node& aNode, const std::string& aPath, std::string& aOut)
 {
   if (!aNode.IsScalar() || !IsPlainText(aNode.Scalar())) {
-    Fail(aNode, aPath, "must be a text of 1 to 1024 characters on one line");
+    AddError(aNode, aPath, "must be a text of 1 to 1024 characters on one line");
     return;
   }
   aOut = aNode.Scalar();
@@ -169,7 +172,7 @@
   return std::move(mErrors);
 }
 
-std::string DocumentReader::Show(double aNumber)
+std::string DocumentReader::FormatNumber(double aNumber)
 {
   std::ostringstream text;
   text << aNumber;
--- a/src/config/document_reader.h
+++ b/src/config/document_reader.h
@@ -22,33 +22,33 @@
 {
 public:
   /* Gets a value and its path. */
-  using Handler = std::function<void(const YAML::Node&, const std::string&)>;
+  using ValueHandler = std::function<void(const YAML::Node&, const std::string&)>;
   /* Gets a name, its value and the value's path. */
   using EntryHandler =
     std::function<void(const std::string&, const YAML::Node&, const std::string&)>;
 
   /* Adds an error with the line of a node. */
-  void Fail(const YAML::Node& aNode, const std::string& aPath, std::string aReason);
+  void AddError(const YAML::Node& aNode, const std::string& aPath, std::string aReason);
 
   /* Adds an error with the line of a path. If the path was not read, the line of the nearest parent
    * that was read is used, or line 1 if there is none. */
-  void FailAt(const std::string& aPath, std::string aReason);
+  void AddErrorAt(const std::string& aPath, std::string aReason);
 
   /* Returns whether a known key, a name or a list item was read at a path. */
-  bool Has(const std::string& aPath) const { return mLines.contains(aPath); }
+  bool HasPath(const std::string& aPath) const { return mLineByPath.contains(aPath); }
 
   /* Calls the handler of each key of a mapping. A key without a handler and a repeated key are
    * errors. */
-  void Members(const YAML::Node& aNode,
-               const std::string& aPath,
-               const std::map<std::string, Handler>& aHandlers);
+  void ReadMembers(const YAML::Node& aNode,
+                   const std::string& aPath,
+                   const std::map<std::string, ValueHandler>& aHandlers);
 
   /* Calls the handler for each entry of a mapping from names to values. An invalid name and a
    * repeated name are errors. */
-  void Entries(const YAML::Node& aNode, const std::string& aPath, const EntryHandler& aHandler);
+  void ReadEntries(const YAML::Node& aNode, const std::string& aPath, const EntryHandler& aHandler);
 
   /* Calls the handler for each item of a list. */
-  void Items(const YAML::Node& aNode, const std::string& aPath, const Handler& aHandler);
+  void ReadItems(const YAML::Node& aNode, const std::string& aPath, const ValueHandler& aHandler);
 
   /* Reads a number from aLow to aHigh. A number in quotes is an error. */
   template<typename Number>
@@ -59,12 +59,14 @@
                   Number& aOut)
   {
     if (!aNode.IsScalar() || IsQuoted(aNode)) {
-      Fail(aNode, aPath, "must be a number");
+      AddError(aNode, aPath, "must be a number");
       return;
     }
     const auto value = ParseNumber<Number>(aNode.Scalar(), aLow, aHigh);
     if (!value) {
-      Fail(aNode, aPath, value.error() + " (" + Show(aLow) + " to " + Show(aHigh) + ")");
+      AddError(aNode,
+               aPath,
+               value.error() + " (" + FormatNumber(aLow) + " to " + FormatNumber(aHigh) + ")");
       return;
     }
     aOut = *value;
@@ -80,22 +82,22 @@
   void ReadText(const YAML::Node& aNode, const std::string& aPath, std::string& aOut);
 
   /* Reads one of the given words and sets aOut to the value that belongs to it. */
-  template<typename Enum>
-  void ReadWord(const YAML::Node& aNode,
-                const std::string& aPath,
-                const std::map<std::string, Enum>& aWords,
-                Enum& aOut)
+  template<typename Value>
+  void ReadChoice(const YAML::Node& aNode,
+                  const std::string& aPath,
+                  const std::map<std::string, Value>& aChoices,
+                  Value& aOut)
   {
-    const auto found = aNode.IsScalar() ? aWords.find(aNode.Scalar()) : aWords.end();
-    if (found != aWords.end()) {
+    const auto found = aNode.IsScalar() ? aChoices.find(aNode.Scalar()) : aChoices.end();
+    if (found != aChoices.end()) {
       aOut = found->second;
       return;
     }
-    std::string words;
-    for (const auto& [word, value] : aWords) {
-      words += (words.empty() ? "" : ", ") + word;
+    std::string choices;
+    for (const auto& [choice, value] : aChoices) {
+      choices += (choices.empty() ? "" : ", ") + choice;
     }
-    Fail(aNode, aPath, "must be one of: " + words);
+    AddError(aNode, aPath, "must be one of: " + choices);
   }
 
   /* Reads a list of texts. A repeated text is an error. aAdd gets each valid text and its path. */
@@ -105,17 +107,17 @@
                 const std::function<void(Item, const std::string&)>& aAdd)
   {
     std::set<std::string> seen;
-    Items(aNode, aPath, [&](const YAML::Node& aItem, const std::string& aAt) {
+    ReadItems(aNode, aPath, [&](const YAML::Node& aItem, const std::string& aItemPath) {
       std::string text;
-      ReadText(aItem, aAt, text);
+      ReadText(aItem, aItemPath, text);
       if (text.empty()) {
         return;
       }
       if (!seen.insert(text).second) {
-        Fail(aItem, aAt, "appears twice");
+        AddError(aItem, aItemPath, "appears twice");
         return;
       }
-      aAdd(Item{ text }, aAt);
+      aAdd(Item{ text }, aItemPath);
     });
   }
 
@@ -125,16 +127,16 @@
 private:
   /* Returns whether a scalar is in quotes. yaml-cpp gives those the tag "!". */
   static bool IsQuoted(const YAML::Node& aNode) { return aNode.Tag() == "!"; }
-  static std::string Show(double aNumber);
+  static std::string FormatNumber(double aNumber);
   template<typename Number>
-  static std::string Show(Number aNumber)
+  static std::string FormatNumber(Number aNumber)
   {
     return std::to_string(aNumber);
   }
-  void Note(const YAML::Node& aNode, const std::string& aPath);
+  void RecordLine(const YAML::Node& aNode, const std::string& aPath);
 
   std::vector<DocumentError> mErrors;
-  std::map<std::string, int> mLines;
+  std::map<std::string, int> mLineByPath;
 };
 
 } // namespace rhubarbtrail
--- a/src/config/document_shape.cpp
+++ b/src/config/document_shape.cpp
@@ -24,7 +24,7 @@
   void OnNull(const YAML::Mark& /*aMark*/, YAML::anchor_t /*aAnchor*/) override {}
   void OnAlias(const YAML::Mark& aMark, YAML::anchor_t /*aAnchor*/) override
   {
-    Fail(aMark, "aliases are not supported; write the value out");
+    AddError(aMark, "aliases are not supported; write the value out");
   }
   void OnScalar(const YAML::Mark& /*aMark*/,
                 const std::string& /*aTag*/,
@@ -37,7 +37,7 @@
                        YAML::anchor_t /*aAnchor*/,
                        YAML::EmitterStyle::value /*aStyle*/) override
   {
-    Enter(aMark);
+    EnterCollection(aMark);
   }
   void OnSequenceEnd() override { --mDepth; }
   void OnMapStart(const YAML::Mark& aMark,
@@ -45,7 +45,7 @@
                   YAML::anchor_t /*aAnchor*/,
                   YAML::EmitterStyle::value /*aStyle*/) override
   {
-    Enter(aMark);
+    EnterCollection(aMark);
   }
   void OnMapEnd() override { --mDepth; }
 
@@ -53,17 +53,17 @@
   std::vector<DocumentError>& errors() { return mErrors; }
 
 private:
-  void Enter(const YAML::Mark& aMark)
+  void EnterCollection(const YAML::Mark& aMark)
   {
     if (++mDepth > kDepthLimit) {
-      Fail(aMark, "is nested too deeply");
+      AddError(aMark, "is nested too deeply");
     }
   }
-  void Fail(const YAML::Mark& aMark, const std::string& aReason)
+  void AddError(const YAML::Mark& aMark, const std::string& aReason)
   {
-    const bool isKnown = std::any_of(
+    const bool isReported = std::any_of(
       mErrors.begin(), mErrors.end(), [&](const auto& aError) { return aError.reason == aReason; });
-    if (!isKnown) {
+    if (!isReported) {
       mErrors.push_back({ aMark.line + 1, "", aReason });
     }
   }
@@ -75,7 +75,7 @@
 
 /* Returns whether the brackets and braces are nested deeper than allowed. Those in quoted texts and
  * comments are counted as well. */
-bool MayBeDeep(const std::string& aDocument)
+bool HasDeepBrackets(const std::string& aDocument)
 {
   int depth = 0;
   for (const char character : aDocument) {
@@ -91,13 +91,13 @@
 /* Returns whether a search of the text finds no document markers, no aliases and no deeply nested
  * brackets, so that the pass over the parser events can be skipped. That pass takes as long as
  * loading the document, and most documents do not need it. */
-bool IsPlain(const std::string& aDocument)
+bool CanSkipEventPass(const std::string& aDocument)
 {
-  const bool hasMarkers = aDocument.find("---") != std::string::npos ||
-                          aDocument.find("...") != std::string::npos ||
-                          aDocument.find('*') != std::string::npos;
+  const bool hasMarkersOrAliases = aDocument.find("---") != std::string::npos ||
+                                   aDocument.find("...") != std::string::npos ||
+                                   aDocument.find('*') != std::string::npos;
   const bool hasText = aDocument.find_first_not_of(" \t\r\n") != std::string::npos;
-  return hasText && !hasMarkers && !MayBeDeep(aDocument);
+  return hasText && !hasMarkersOrAliases && !HasDeepBrackets(aDocument);
 }
 
 } // namespace
@@ -107,7 +107,7 @@
   if (aDocument.size() > kDocumentLimitBytes) {
     return { { 1, "", "is larger than 4 MiB" } };
   }
-  if (IsPlain(aDocument)) {
+  if (CanSkipEventPass(aDocument)) {
     return {};
   }
   std::istringstream stream(aDocument);
--- a/src/operator/admin_routes.h
+++ b/src/operator/admin_routes.h
@@ -15,7 +15,7 @@
   std::string method;
   std::string path;
   /* Lowest role that may make the call. Without a value, no key is needed. */
-  std::optional<OperatorRole> role;
+  std::optional<OperatorRole> requiredRole;
 };
 
 } // namespace rhubarbtrail
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -19,9 +19,9 @@
 
 using nlohmann::json;
 
-constexpr const char* kBearer = "Bearer ";
-constexpr std::size_t kThreads = 8;
-constexpr const char* kJson = "application/json";
+constexpr const char* kBearerPrefix = "Bearer ";
+constexpr std::size_t kRequestThreads = 8;
+constexpr const char* kJsonContentType = "application/json";
 /* Longest wait for the next bytes of a request. */
 constexpr std::chrono::seconds kReadTimeout{ 10 };
 /* Time after which an idle connection is closed. Stop() may have to wait this long. */
@@ -32,13 +32,13 @@
 using Handler = std::function<void(const Request&, Response&, const OperatorKey&)>;
 
 /* Answers with an HTTP status and a JSON body that holds the reason. */
-void Fail(Response& aResponse, int aStatus, const std::string& aReason)
+void AnswerError(Response& aResponse, int aStatus, const std::string& aErrorText)
 {
   aResponse.status = aStatus;
-  aResponse.set_content(json{ { "error", aReason } }.dump(), kJson);
+  aResponse.set_content(json{ { "error", aErrorText } }.dump(), kJsonContentType);
 }
 
-json Describe(const ConfigurationRow& aRow)
+json ToJson(const ConfigurationRow& aRow)
 {
   return { { "version", aRow.version.value },
            { "author", aRow.author },
@@ -54,7 +54,7 @@
   return value ? std::optional{ ConfigVersion{ *value } } : std::nullopt;
 }
 
-json Describe(const std::vector<DocumentError>& aErrors)
+json ToJson(const std::vector<DocumentError>& aErrors)
 {
   json list = json::array();
   for (const DocumentError& error : aErrors) {
@@ -64,14 +64,14 @@
 }
 
 /* Parses an accepted document. Returns an empty configuration if this daemon finds errors in it. */
-Configuration ParseOrEmpty(const std::string& aDocument)
+Configuration ParseAcceptedDocument(const std::string& aDocument)
 {
   return ParseConfiguration(aDocument, {}).value_or(Configuration{});
 }
 
 /* Lists the changes from one document to another. The list is empty if the new document has errors.
  * An old document that is empty or has errors counts as an empty configuration. */
-json DescribeDiff(const std::string& aBefore, const std::string& aAfter)
+json DiffToJson(const std::string& aBefore, const std::string& aAfter)
 {
   const auto before =
     aBefore.empty() ? Configuration{} : ParseConfiguration(aBefore, {}).value_or(Configuration{});
@@ -80,7 +80,7 @@
   if (!after) {
     return list;
   }
-  for (const ConfigurationChange& change : Diff(before, *after)) {
+  for (const ConfigurationChange& change : DiffConfigurations(before, *after)) {
     json entry{ { "kind", ToString(change.kind) }, { "path", change.path } };
     if (change.kind == ChangeKind::kChanged) {
       entry["before"] = change.before;
@@ -104,24 +104,24 @@
               aRequest.path,
               error.what());
   }
-  Fail(aResponse, 500, "the daemon could not answer; its log says why");
+  AnswerError(aResponse, 500, "the daemon could not answer; its log says why");
 }
 
 void Answer(Response& aResponse, const json& aBody)
 {
-  aResponse.set_content(aBody.dump(), kJson);
+  aResponse.set_content(aBody.dump(), kJsonContentType);
 }
 
 void AnswerInvalid(Response& aResponse, const std::vector<DocumentError>& aErrors)
 {
   aResponse.status = 422;
-  Answer(aResponse, { { "error", "the document has errors" }, { "errors", Describe(aErrors) } });
+  Answer(aResponse, { { "error", "the document has errors" }, { "errors", ToJson(aErrors) } });
 }
 
-void AnswerTableDown(Response& aResponse)
+void AnswerTableUnavailable(Response& aResponse)
 {
   aResponse.set_header("Retry-After", "2");
-  Fail(aResponse, 503, "the table service cannot be reached; nothing was changed");
+  AnswerError(aResponse, 503, "the table service cannot be reached; nothing was changed");
 }
 
 } // namespace
@@ -139,12 +139,12 @@
   {
   }
 
-  void Guard(const AdminRoute& aRoute,
-             const Handler& aHandler,
-             const Request& aRequest,
-             Response& aResponse) const;
-  /* Registers a route. Its handler is called through Guard(). */
-  void Add(const AdminRoute& aRoute, Handler aHandler);
+  void AuthorizeAndHandle(const AdminRoute& aRoute,
+                          const Handler& aHandler,
+                          const Request& aRequest,
+                          Response& aResponse) const;
+  /* Registers a route. Its handler is called through AuthorizeAndHandle(). */
+  void AddRoute(const AdminRoute& aRoute, Handler aHandler);
   void AddReadRoutes();
   void AddWriteRoutes();
   void GetReady(Response& aResponse) const;
@@ -155,11 +155,11 @@
   void GetHistory(const Request& aRequest, Response& aResponse) const;
   void PostDiff(const Request& aRequest, Response& aResponse) const;
   void PostConfiguration(const Request& aRequest, Response& aResponse, const OperatorKey& aKey);
-  void AnswerProposalError(const Proposal& aProposal,
+  void AnswerProposalError(const ConfigurationProposal& aProposal,
                            const ProposalError& aError,
                            Response& aResponse) const;
   void PostRelease(const Request& aRequest, Response& aResponse) const;
-  json Status() const;
+  json CurrentStatus() const;
 
   AdminServerOptions options;
   const RcuPointer<Snapshot>& snapshot;
@@ -172,23 +172,24 @@
 
 /* Checks the key of a request and calls the handler if the key's role suffices. Logs the call for
  * the audit, unless the route only requires the view role. */
-void AdminServer::Impl::Guard(const AdminRoute& aRoute,
-                              const Handler& aHandler,
-                              const Request& aRequest,
-                              Response& aResponse) const
+void AdminServer::Impl::AuthorizeAndHandle(const AdminRoute& aRoute,
+                                           const Handler& aHandler,
+                                           const Request& aRequest,
+                                           Response& aResponse) const
 {
-  if (!aRoute.role) {
+  if (!aRoute.requiredRole) {
     aHandler(aRequest, aResponse, {});
     return;
   }
   const std::string header = aRequest.get_header_value("Authorization");
-  if (!header.starts_with(kBearer)) {
-    Fail(aResponse, 401, "an operator's key is needed");
+  if (!header.starts_with(kBearerPrefix)) {
+    AnswerError(aResponse, 401, "an operator's key is needed");
     return;
   }
-  const auto key = FindOperatorKey(options.keys, header.substr(std::string{ kBearer }.size()));
-  if (!key || key->role < *aRoute.role) {
-    Fail(aResponse, 403, "this key does not allow the call");
+  const auto key =
+    FindOperatorKey(options.keys, header.substr(std::string{ kBearerPrefix }.size()));
+  if (!key || key->role < *aRoute.requiredRole) {
+    AnswerError(aResponse, 403, "this key does not allow the call");
     // Unknown keys are logged at the debug level only, so that a client without a key cannot fill
     // the log.
     Log(log_part::kOperator)
@@ -200,25 +201,25 @@
     return;
   }
   aHandler(aRequest, aResponse, *key);
-  if (*aRoute.role != OperatorRole::kView) {
+  if (*aRoute.requiredRole != OperatorRole::kView) {
     Log(log_part::kOperator)
       ->info(
         "{} called {} {}: status {}.", key->name, aRoute.method, aRoute.path, aResponse.status);
   }
 }
 
-void AdminServer::Impl::Add(const AdminRoute& aRoute, Handler aHandler)
+void AdminServer::Impl::AddRoute(const AdminRoute& aRoute, Handler aHandler)
 {
   routes.push_back(aRoute);
-  const auto guarded = [this, aRoute, handler = std::move(aHandler)](const Request& aRequest,
-                                                                     Response& aResponse) {
-    aResponse.status = 200;
-    Guard(aRoute, handler, aRequest, aResponse);
-  };
+  const auto authorizedHandler =
+    [this, aRoute, handler = std::move(aHandler)](const Request& aRequest, Response& aResponse) {
+      aResponse.status = 200;
+      AuthorizeAndHandle(aRoute, handler, aRequest, aResponse);
+    };
   if (aRoute.method == "GET") {
-    server.Get(aRoute.path, guarded);
+    server.Get(aRoute.path, authorizedHandler);
   } else {
-    server.Post(aRoute.path, guarded);
+    server.Post(aRoute.path, authorizedHandler);
   }
 }
 
@@ -249,7 +250,7 @@
   Answer(aResponse, list);
 }
 
-json AdminServer::Impl::Status() const
+json AdminServer::Impl::CurrentStatus() const
 {
   const auto dump = hooks.dump();
   return snapshot.Read([&](const Snapshot& aSnapshot) { return MakeStatus(aSnapshot, dump); });
@@ -257,7 +258,7 @@
 
 void AdminServer::Impl::GetStatus(const Request& aRequest, Response& aResponse) const
 {
-  const json status = Status();
+  const json status = CurrentStatus();
   if (aRequest.get_param_value("format") == "text") {
     aResponse.set_content(StatusToText(status), "text/plain");
     return;
@@ -267,20 +268,20 @@
 
 void AdminServer::Impl::GetQuarantine(Response& aResponse) const
 {
-  Answer(aResponse, Status()["quarantine"]);
+  Answer(aResponse, CurrentStatus()["quarantine"]);
 }
 
 void AdminServer::Impl::GetConfiguration(const Request& aRequest, Response& aResponse) const
 {
-  const bool isNamed = aRequest.has_param("version");
-  const auto wanted = ParseVersion(aRequest.get_param_value("version"));
-  if (isNamed && !wanted) {
-    Fail(aResponse, 400, "version must be a number");
+  const bool hasVersion = aRequest.has_param("version");
+  const auto requested = ParseVersion(aRequest.get_param_value("version"));
+  if (hasVersion && !requested) {
+    AnswerError(aResponse, 400, "version must be a number");
     return;
   }
-  const auto row = wanted ? store.Version(*wanted) : store.Newest();
+  const auto row = requested ? store.ReadVersion(*requested) : store.ReadNewest();
   if (!row) {
-    Fail(aResponse, wanted ? 404 : 503, "the version cannot be read");
+    AnswerError(aResponse, requested ? 404 : 503, "the version cannot be read");
     return;
   }
   aResponse.set_header("ETag", "\"" + std::to_string(row->version.value) + "\"");
@@ -290,44 +291,46 @@
 void AdminServer::Impl::GetHistory(const Request& aRequest, Response& aResponse) const
 {
   /* Limits the number of listed versions, since each one's document is read from the table. */
-  constexpr std::uint64_t kHistoryLimit = 50;
-  constexpr std::uint64_t kHistoryDefault = 20;
-  std::uint64_t limit = kHistoryDefault;
+  constexpr std::uint64_t kMaxHistoryLength = 50;
+  constexpr std::uint64_t kDefaultHistoryLength = 20;
+  std::uint64_t limit = kDefaultHistoryLength;
   if (aRequest.has_param("limit")) {
-    const auto wanted =
-      ParseNumber<std::uint64_t>(aRequest.get_param_value("limit"), 1, kHistoryLimit);
-    if (!wanted) {
-      Fail(aResponse, 400, "limit: " + wanted.error());
+    const auto requested =
+      ParseNumber<std::uint64_t>(aRequest.get_param_value("limit"), 1, kMaxHistoryLength);
+    if (!requested) {
+      AnswerError(aResponse, 400, "limit: " + requested.error());
       return;
     }
-    limit = *wanted;
+    limit = *requested;
   }
-  const auto newest = store.Newest();
+  const auto newest = store.ReadNewest();
   if (!newest) {
-    AnswerTableDown(aResponse);
+    AnswerTableUnavailable(aResponse);
     return;
   }
   json list = json::array();
   std::optional<ConfigurationRow> row = newest->version.value > 0 ? newest : std::nullopt;
-  Configuration after = row ? ParseOrEmpty(row->document) : Configuration{};
+  Configuration after = row ? ParseAcceptedDocument(row->document) : Configuration{};
   while (row && list.size() < limit) {
-    const ConfigVersion before{ row->version.value - 1 };
-    const auto earlier = before.value > 0 ? store.Version(before) : std::nullopt;
-    Configuration former = earlier ? ParseOrEmpty(earlier->document) : Configuration{};
-    json entry = Describe(*row);
-    entry["changes"] = Diff(former, after).size();
+    const ConfigVersion previousVersion{ row->version.value - 1 };
+    const auto previousRow =
+      previousVersion.value > 0 ? store.ReadVersion(previousVersion) : std::nullopt;
+    Configuration previousConfiguration =
+      previousRow ? ParseAcceptedDocument(previousRow->document) : Configuration{};
+    json entry = ToJson(*row);
+    entry["changes"] = DiffConfigurations(previousConfiguration, after).size();
     list.push_back(std::move(entry));
-    row = earlier;
-    after = std::move(former);
+    row = previousRow;
+    after = std::move(previousConfiguration);
   }
   Answer(aResponse, list);
 }
 
 void AdminServer::Impl::PostDiff(const Request& aRequest, Response& aResponse) const
 {
-  const auto newest = store.Newest();
+  const auto newest = store.ReadNewest();
   if (!newest) {
-    AnswerTableDown(aResponse);
+    AnswerTableUnavailable(aResponse);
     return;
   }
   if (const auto parsed = ParseConfiguration(aRequest.body, {}); !parsed) {
@@ -336,7 +339,7 @@
   }
   Answer(aResponse,
          { { "based_on", newest->version.value },
-           { "changes", DescribeDiff(newest->document, aRequest.body) } });
+           { "changes", DiffToJson(newest->document, aRequest.body) } });
 }
 
 void AdminServer::Impl::PostConfiguration(const Request& aRequest,
@@ -345,68 +348,70 @@
 {
   const auto basedOn = ParseVersion(aRequest.get_header_value("If-Match"));
   if (!basedOn) {
-    Fail(aResponse, 428, "If-Match must name the version that the change is based on");
+    AnswerError(aResponse, 428, "If-Match must name the version that the change is based on");
     return;
   }
-  Proposal proposal{ .document = aRequest.body,
-                     .author = aKey.name,
-                     .comment = aRequest.get_header_value("X-Comment"),
-                     .basedOn = *basedOn };
+  ConfigurationProposal proposal{ .document = aRequest.body,
+                                  .author = aKey.name,
+                                  .comment = aRequest.get_header_value("X-Comment"),
+                                  .basedOn = *basedOn };
   if (aRequest.has_param("from_version")) {
     const auto from = ParseVersion(aRequest.get_param_value("from_version"));
-    const auto row = from ? store.Version(*from) : std::nullopt;
+    const auto row = from ? store.ReadVersion(*from) : std::nullopt;
     if (!row) {
-      Fail(aResponse, 404, "the version to go back to cannot be read");
+      AnswerError(aResponse, 404, "the version to go back to cannot be read");
       return;
     }
     proposal.document = row->document;
   }
-  const auto accepted = store.Accept(proposal);
-  if (!accepted) {
-    AnswerProposalError(proposal, accepted.error(), aResponse);
+  const auto acceptedRow = store.Accept(proposal);
+  if (!acceptedRow) {
+    AnswerProposalError(proposal, acceptedRow.error(), aResponse);
     return;
   }
   Log(log_part::kOperator)
     ->info("{} changed the configuration to version {}: {}.",
            aKey.name,
-           accepted->version.value,
-           accepted->comment.empty() ? "no comment" : accepted->comment);
-  hooks.accepted(*accepted);
-  Answer(aResponse, Describe(*accepted));
+           acceptedRow->version.value,
+           acceptedRow->comment.empty() ? "no comment" : acceptedRow->comment);
+  hooks.accepted(*acceptedRow);
+  Answer(aResponse, ToJson(*acceptedRow));
 }
 
-void AdminServer::Impl::AnswerProposalError(const Proposal& aProposal,
+void AdminServer::Impl::AnswerProposalError(const ConfigurationProposal& aProposal,
                                             const ProposalError& aError,
                                             Response& aResponse) const
 {
-  switch (aError.fault) {
-    case ProposalFault::kInvalid:
+  switch (aError.errorCode) {
+    case ProposalErrorCode::kInvalid:
       AnswerInvalid(aResponse, aError.errors);
       return;
-    case ProposalFault::kConflict:
+    case ProposalErrorCode::kConflict:
       aResponse.status = 409;
       Answer(aResponse,
              { { "error", "another version was accepted" },
-               { "current", Describe(*aError.current) },
-               { "changes", DescribeDiff(aError.current->document, aProposal.document) } });
+               { "current", ToJson(*aError.current) },
+               { "changes", DiffToJson(aError.current->document, aProposal.document) } });
       return;
-    case ProposalFault::kUnavailable:
-      AnswerTableDown(aResponse);
+    case ProposalErrorCode::kUnavailable:
+      AnswerTableUnavailable(aResponse);
       return;
-    case ProposalFault::kUnknown:
-      Fail(aResponse, 504, "the table service did not answer; the change may have been accepted");
+    case ProposalErrorCode::kUnknown:
+      AnswerError(
+        aResponse, 504, "the table service did not answer; the change may have been accepted");
       return;
   }
 }
 
 void AdminServer::Impl::PostRelease(const Request& aRequest, Response& aResponse) const
 {
-  const json listed = Status()["quarantine"];
-  const bool isListed = std::any_of(listed.begin(), listed.end(), [&](const json& aEntry) {
-    return aEntry["fingerprint"] == aRequest.body;
-  });
-  if (!isListed) {
-    Fail(aResponse, 404, "no request with this fingerprint is in quarantine");
+  const json quarantine = CurrentStatus()["quarantine"];
+  const bool isQuarantined =
+    std::any_of(quarantine.begin(), quarantine.end(), [&](const json& aEntry) {
+      return aEntry["fingerprint"] == aRequest.body;
+    });
+  if (!isQuarantined) {
+    AnswerError(aResponse, 404, "no request with this fingerprint is in quarantine");
     return;
   }
   hooks.release(FingerprintId{ aRequest.body });
@@ -417,61 +422,62 @@
 {
   constexpr auto kView = OperatorRole::kView;
   using Key = OperatorKey;
-  Add({ "GET", "/health", {} }, [](const Request&, Response& aResponse, const Key&) {
+  AddRoute({ "GET", "/health", {} }, [](const Request&, Response& aResponse, const Key&) {
     aResponse.set_content("ok\n", "text/plain");
   });
-  Add({ "GET", "/ready", {} },
-      [this](const Request&, Response& aResponse, const Key&) { GetReady(aResponse); });
-  Add({ "GET", "/dump", kView }, [this](const Request& aRequest, Response& aResponse, const Key&) {
-    GetDump(aRequest, aResponse);
-  });
-  Add({ "GET", "/status", kView },
-      [this](const Request& aRequest, Response& aResponse, const Key&) {
-        GetStatus(aRequest, aResponse);
-      });
-  Add({ "GET", "/quarantine", kView },
-      [this](const Request&, Response& aResponse, const Key&) { GetQuarantine(aResponse); });
-  Add({ "GET", "/metrics", kView }, [this](const Request&, Response& aResponse, const Key&) {
+  AddRoute({ "GET", "/ready", {} },
+           [this](const Request&, Response& aResponse, const Key&) { GetReady(aResponse); });
+  AddRoute({ "GET", "/dump", kView },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             GetDump(aRequest, aResponse);
+           });
+  AddRoute({ "GET", "/status", kView },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             GetStatus(aRequest, aResponse);
+           });
+  AddRoute({ "GET", "/quarantine", kView },
+           [this](const Request&, Response& aResponse, const Key&) { GetQuarantine(aResponse); });
+  AddRoute({ "GET", "/metrics", kView }, [this](const Request&, Response& aResponse, const Key&) {
     aResponse.set_content(hooks.metrics(), "text/plain; version=0.0.4");
   });
-  Add({ "GET", "/configuration", kView },
-      [this](const Request& aRequest, Response& aResponse, const Key&) {
-        GetConfiguration(aRequest, aResponse);
-      });
-  Add({ "GET", "/configuration/history", kView },
-      [this](const Request& aRequest, Response& aResponse, const Key&) {
-        GetHistory(aRequest, aResponse);
-      });
-  Add({ "POST", "/configuration/diff", kView },
-      [this](const Request& aRequest, Response& aResponse, const Key&) {
-        PostDiff(aRequest, aResponse);
-      });
+  AddRoute({ "GET", "/configuration", kView },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             GetConfiguration(aRequest, aResponse);
+           });
+  AddRoute({ "GET", "/configuration/history", kView },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             GetHistory(aRequest, aResponse);
+           });
+  AddRoute({ "POST", "/configuration/diff", kView },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             PostDiff(aRequest, aResponse);
+           });
 }
 
 void AdminServer::Impl::AddWriteRoutes()
 {
   constexpr auto kOperate = OperatorRole::kOperate;
   using Key = OperatorKey;
-  Add({ "POST", "/configuration", OperatorRole::kConfigure },
-      [this](const Request& aRequest, Response& aResponse, const Key& aKey) {
-        PostConfiguration(aRequest, aResponse, aKey);
-      });
-  Add({ "POST", "/log-level", kOperate },
-      [](const Request& aRequest, Response& aResponse, const Key&) {
-        if (!SetLogLevel(aRequest.body)) {
-          Fail(aResponse, 400, "the level must be debug, info, warn or error");
-          return;
-        }
-        Answer(aResponse, json::object());
-      });
-  Add({ "POST", "/drain", kOperate }, [this](const Request&, Response& aResponse, const Key&) {
+  AddRoute({ "POST", "/configuration", OperatorRole::kConfigure },
+           [this](const Request& aRequest, Response& aResponse, const Key& aKey) {
+             PostConfiguration(aRequest, aResponse, aKey);
+           });
+  AddRoute({ "POST", "/log-level", kOperate },
+           [](const Request& aRequest, Response& aResponse, const Key&) {
+             if (!SetLogLevel(aRequest.body)) {
+               AnswerError(aResponse, 400, "the level must be debug, info, warn or error");
+               return;
+             }
+             Answer(aResponse, json::object());
+           });
+  AddRoute({ "POST", "/drain", kOperate }, [this](const Request&, Response& aResponse, const Key&) {
     hooks.drain();
     Answer(aResponse, json::object());
   });
-  Add({ "POST", "/quarantine/release", kOperate },
-      [this](const Request& aRequest, Response& aResponse, const Key&) {
-        PostRelease(aRequest, aResponse);
-      });
+  AddRoute({ "POST", "/quarantine/release", kOperate },
+           [this](const Request& aRequest, Response& aResponse, const Key&) {
+             PostRelease(aRequest, aResponse);
+           });
 }
 
 AdminServer::AdminServer(AdminServerOptions aOptions,
@@ -490,7 +496,7 @@
 std::uint16_t AdminServer::Start()
 {
   httplib::Server& server = mImpl->server;
-  server.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
+  server.new_task_queue = [] { return new httplib::ThreadPool(kRequestThreads); };
   server.set_tcp_nodelay(true);
   server.set_exception_handler(AnswerException);
   server.set_read_timeout(kReadTimeout);
--- a/src/operator/configuration_store.cpp
+++ b/src/operator/configuration_store.cpp
@@ -11,7 +11,7 @@
 
 /* Number of reads that try to find out whether a transaction was committed, after an answer that
  * was lost or reported a conflict. */
-constexpr int kReadBackTries = 5;
+constexpr int kReadBackAttempts = 5;
 
 std::int64_t UnixMs()
 {
@@ -19,11 +19,11 @@
   return duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
 }
 
-tl::unexpected<ProposalError> Fail(ProposalFault aFault,
-                                   std::optional<ConfigurationRow> aCurrent = std::nullopt)
+tl::unexpected<ProposalError> MakeError(ProposalErrorCode aErrorCode,
+                                        std::optional<ConfigurationRow> aCurrent = std::nullopt)
 {
   return tl::make_unexpected(
-    ProposalError{ .fault = aFault, .errors = {}, .current = std::move(aCurrent) });
+    ProposalError{ .errorCode = aErrorCode, .errors = {}, .current = std::move(aCurrent) });
 }
 
 } // namespace
@@ -43,13 +43,13 @@
   return head;
 }
 
-std::optional<ConfigurationRow> ConfigurationStore::Newest() const
+std::optional<ConfigurationRow> ConfigurationStore::ReadNewest() const
 {
   const auto head = ReadHead();
   return head ? std::optional{ head->row } : std::nullopt;
 }
 
-std::optional<ConfigurationRow> ConfigurationStore::Version(ConfigVersion aVersion) const
+std::optional<ConfigurationRow> ConfigurationStore::ReadVersion(ConfigVersion aVersion) const
 {
   const ReadResult result =
     mTable.Read({ ChangeId{ "history" }, { ConfigurationHistoryKey(aVersion) } });
@@ -61,19 +61,20 @@
 }
 
 tl::expected<ConfigurationRow, ProposalError> ConfigurationStore::Accept(
-  const Proposal& aProposal) const
+  const ConfigurationProposal& aProposal) const
 {
   const ConfigVersion version{ aProposal.basedOn.value + 1 };
   if (auto parsed = ParseConfiguration(aProposal.document, version); !parsed) {
-    return tl::make_unexpected(ProposalError{
-      .fault = ProposalFault::kInvalid, .errors = parsed.error(), .current = std::nullopt });
+    return tl::make_unexpected(ProposalError{ .errorCode = ProposalErrorCode::kInvalid,
+                                              .errors = parsed.error(),
+                                              .current = std::nullopt });
   }
   const auto head = ReadHead();
   if (!head) {
-    return Fail(ProposalFault::kUnavailable);
+    return MakeError(ProposalErrorCode::kUnavailable);
   }
   if (head->row.version != aProposal.basedOn) {
-    return Fail(ProposalFault::kConflict, head->row);
+    return MakeError(ProposalErrorCode::kConflict, head->row);
   }
   const ConfigurationRow row{ .version = version,
                               .document = aProposal.document,
@@ -94,20 +95,20 @@
   // The answer may have been lost, and a reported conflict may be with this very write if the
   // transaction reached the table twice. The change id of the stored row tells whether it was
   // committed.
-  for (int tries = 0; tries < kReadBackTries; ++tries) {
-    const auto now = ReadHead();
-    if (!now) {
+  for (int attempt = 0; attempt < kReadBackAttempts; ++attempt) {
+    const auto latest = ReadHead();
+    if (!latest) {
       continue;
     }
-    const auto written = now->row.version == version ? now->row : Version(version);
+    const auto written = latest->row.version == version ? latest->row : ReadVersion(version);
     if (written && written->change == row.change) {
       return row;
     }
-    if (now->row.version >= version) {
-      return Fail(ProposalFault::kConflict, now->row);
+    if (latest->row.version >= version) {
+      return MakeError(ProposalErrorCode::kConflict, latest->row);
     }
   }
-  return Fail(ProposalFault::kUnknown);
+  return MakeError(ProposalErrorCode::kUnknown);
 }
 
 } // namespace rhubarbtrail
--- a/src/operator/configuration_store.h
+++ b/src/operator/configuration_store.h
@@ -14,7 +14,7 @@
 namespace rhubarbtrail {
 
 /* A document that an operator wants to make the next configuration version. */
-struct Proposal
+struct ConfigurationProposal
 {
   std::string document;
   std::string author;
@@ -22,7 +22,7 @@
   ConfigVersion basedOn; ///< Newest version that the operator knows.
 };
 
-enum class ProposalFault : std::uint8_t
+enum class ProposalErrorCode : std::uint8_t
 {
   kInvalid,     ///< The document has errors, which ProposalError::errors lists.
   kConflict,    ///< Another version was accepted after the one that the proposal is based on.
@@ -32,7 +32,7 @@
 
 struct ProposalError
 {
-  ProposalFault fault = ProposalFault::kInvalid;
+  ProposalErrorCode errorCode = ProposalErrorCode::kInvalid;
   std::vector<DocumentError> errors;
   std::optional<ConfigurationRow> current; ///< Newest version, set only with kConflict.
 };
@@ -49,15 +49,16 @@
 
   /* Returns the newest version. The row has version 0 if no configuration was accepted yet. Has no
    * value if the table cannot be read. */
-  std::optional<ConfigurationRow> Newest() const;
+  std::optional<ConfigurationRow> ReadNewest() const;
 
   /* Returns a version from the history. Has no value if the version does not exist or the table
    * cannot be read. */
-  std::optional<ConfigurationRow> Version(ConfigVersion aVersion) const;
+  std::optional<ConfigurationRow> ReadVersion(ConfigVersion aVersion) const;
 
   /* Validates a document and stores it as the next version, unless another version was accepted
    * after the one that the proposal is based on. */
-  tl::expected<ConfigurationRow, ProposalError> Accept(const Proposal& aProposal) const;
+  tl::expected<ConfigurationRow, ProposalError> Accept(
+    const ConfigurationProposal& aProposal) const;
 
 private:
   /* The newest version, and the table's version of the row that holds it. */
--- a/src/operator/daemon_status.cpp
+++ b/src/operator/daemon_status.cpp
@@ -12,12 +12,12 @@
 using nlohmann::json;
 
 /* Parts of the dotted paths in a state dump. */
-constexpr std::string_view kMembers = "view.members.";
-constexpr std::string_view kEndpoints = "view.endpoints.";
-constexpr std::string_view kCells = "cells.";
-constexpr std::string_view kRunners = ".runners.";
-constexpr std::string_view kQuarantined = "router.quarantined.";
-constexpr std::string_view kMemory = "memory_mb";
+constexpr std::string_view kMembersPrefix = "view.members.";
+constexpr std::string_view kEndpointsPrefix = "view.endpoints.";
+constexpr std::string_view kCellsPrefix = "cells.";
+constexpr std::string_view kRunnersSeparator = ".runners.";
+constexpr std::string_view kQuarantinedPrefix = "router.quarantined.";
+constexpr std::string_view kMemoryField = "memory_mb";
 
 /* Splits "ID.field" at the last dot, since ids may contain dots. Without a dot, the field is
  * empty. */
@@ -33,40 +33,40 @@
 /* Returns the id of the endpoint at the start of a path. Ids may contain dots, so the longest
  * matching id of a known endpoint is returned. If none matches, the id is assumed to end at the
  * last dot. */
-std::string EndpointOf(const std::string& aPath, const json& aEndpoints)
+std::string FindEndpointId(const std::string& aPath, const json& aEndpoints)
 {
-  std::string longest;
+  std::string longestId;
   for (const auto& [id, state] : aEndpoints.items()) {
-    if (aPath.starts_with(id + ".") && id.size() > longest.size()) {
-      longest = id;
+    if (aPath.starts_with(id + ".") && id.size() > longestId.size()) {
+      longestId = id;
     }
   }
-  return longest.empty() ? SplitField(aPath).first : longest;
+  return longestId.empty() ? SplitField(aPath).first : longestId;
 }
 
 /* Adds the dump entry of a cell, or of one of its runners, to the status. The path starts with the
  * id of the cell. */
 void AddCellEntry(const std::string& aPath, const std::string& aValue, json& aStatus)
 {
-  const auto runners = aPath.find(kRunners);
-  if (runners == std::string::npos) {
+  const auto runnersAt = aPath.find(kRunnersSeparator);
+  if (runnersAt == std::string::npos) {
     const auto [cell, field] = SplitField(aPath);
     aStatus["cells"][cell][field] = aValue;
     return;
   }
-  const std::string rest = aPath.substr(runners + kRunners.size());
-  const std::string runner = EndpointOf(rest, aStatus["endpoints"]);
-  const std::string field = rest.substr(std::min(runner.size() + 1, rest.size()));
-  json& entry = aStatus["cells"][aPath.substr(0, runners)]["runners"][runner];
-  if (field == kMemory) {
-    entry[kMemory.data()] = aValue;
+  const std::string runnerPath = aPath.substr(runnersAt + kRunnersSeparator.size());
+  const std::string runner = FindEndpointId(runnerPath, aStatus["endpoints"]);
+  const std::string field = runnerPath.substr(std::min(runner.size() + 1, runnerPath.size()));
+  json& entry = aStatus["cells"][aPath.substr(0, runnersAt)]["runners"][runner];
+  if (field == kMemoryField) {
+    entry[kMemoryField.data()] = aValue;
   } else {
     entry["models"][field] = aValue;
   }
 }
 
 /* Formats rows as text. Each column but the last is two characters wider than its widest text. */
-std::string ToTable(const std::vector<std::vector<std::string>>& aRows)
+std::string FormatTable(const std::vector<std::vector<std::string>>& aRows)
 {
   std::vector<std::size_t> widths;
   for (const auto& row : aRows) {
@@ -115,19 +115,20 @@
   for (const DumpEntry& entry : aDump) {
     if (entry.path == "daemon" || entry.path == "incarnation") {
       status[entry.path] = entry.value;
-    } else if (entry.path.starts_with(kMembers)) {
-      const auto [daemon, field] = SplitField(entry.path.substr(kMembers.size()));
+    } else if (entry.path.starts_with(kMembersPrefix)) {
+      const auto [daemon, field] = SplitField(entry.path.substr(kMembersPrefix.size()));
       status["daemons"][daemon][field] = std::atoll(entry.value.c_str());
-    } else if (entry.path.starts_with(kEndpoints)) {
-      status["endpoints"][entry.path.substr(kEndpoints.size())] = entry.value;
-    } else if (entry.path.starts_with(kQuarantined)) {
-      status["quarantine"].push_back({ { "fingerprint", entry.path.substr(kQuarantined.size()) },
-                                       { "expires_in_ms", std::atoll(entry.value.c_str()) } });
+    } else if (entry.path.starts_with(kEndpointsPrefix)) {
+      status["endpoints"][entry.path.substr(kEndpointsPrefix.size())] = entry.value;
+    } else if (entry.path.starts_with(kQuarantinedPrefix)) {
+      status["quarantine"].push_back(
+        { { "fingerprint", entry.path.substr(kQuarantinedPrefix.size()) },
+          { "expires_in_ms", std::atoll(entry.value.c_str()) } });
     }
   }
   for (const DumpEntry& entry : aDump) {
-    if (entry.path.starts_with(kCells)) {
-      AddCellEntry(entry.path.substr(kCells.size()), entry.value, status);
+    if (entry.path.starts_with(kCellsPrefix)) {
+      AddCellEntry(entry.path.substr(kCellsPrefix.size()), entry.value, status);
     }
   }
   return status;
@@ -141,12 +142,12 @@
        << "\n\n";
   std::vector<std::vector<std::string>> rows{ { "OTHER DAEMON", "HEARD", "CONFIGURATION" } };
   for (const auto& [id, daemon] : aStatus["daemons"].items()) {
-    const std::int64_t heard = daemon.value("heard_ms_ago", std::int64_t{ -1 });
+    const std::int64_t heardMsAgo = daemon.value("heard_ms_ago", std::int64_t{ -1 });
     rows.push_back({ id,
-                     heard < 0 ? "never" : std::to_string(heard) + " ms ago",
+                     heardMsAgo < 0 ? "never" : std::to_string(heardMsAgo) + " ms ago",
                      daemon.value("configuration", json(0)).dump() });
   }
-  text << ToTable(rows) << "\n";
+  text << FormatTable(rows) << "\n";
   rows = { { "CELL", "HOLDER", "FENCE", "DEMANDS" } };
   std::vector<std::vector<std::string>> runners{ { "RUNNER", "MEMORY MB", "MODEL", "STATE" } };
   for (const auto& [id, cell] : aStatus["cells"].items()) {
@@ -155,8 +156,8 @@
                      cell.value("holder", "") + (isHeld ? " (this daemon)" : ""),
                      cell.value("fence", ""),
                      cell.value("demands", "") });
-    const json members = cell.value("runners", json::object());
-    for (const auto& [runner, entry] : members.items()) {
+    const json cellRunners = cell.value("runners", json::object());
+    for (const auto& [runner, entry] : cellRunners.items()) {
       const std::string memory = entry.value("memory_mb", "?");
       const json models = entry.value("models", json::object());
       if (models.empty()) {
@@ -167,15 +168,15 @@
       }
     }
   }
-  text << ToTable(rows) << "\n";
+  text << FormatTable(rows) << "\n";
   if (runners.size() > 1) {
-    text << ToTable(runners) << "\n";
+    text << FormatTable(runners) << "\n";
   }
   rows = { { "ENDPOINT", "STATE" } };
   for (const auto& [id, state] : aStatus["endpoints"].items()) {
     rows.push_back({ id, state.get<std::string>() });
   }
-  text << ToTable(rows);
+  text << FormatTable(rows);
   for (const json& entry : aStatus["quarantine"]) {
     text << "\nquarantined " << entry["fingerprint"].get<std::string>() << ", "
          << entry["expires_in_ms"] << " ms left";
--- a/src/operator/drained_runner.cpp
+++ b/src/operator/drained_runner.cpp
@@ -5,10 +5,10 @@
 
 namespace rhubarbtrail {
 
-tl::expected<std::string, std::string> WithDrainedRunner(const std::string& aDocument,
-                                                         const ServiceId& aService,
-                                                         const EndpointId& aRunner,
-                                                         Drained aDrained)
+tl::expected<std::string, std::string> SetRunnerDrained(const std::string& aDocument,
+                                                        const ServiceId& aService,
+                                                        const EndpointId& aRunner,
+                                                        Drained aDrained)
 {
   try {
     YAML::Node root = YAML::Load(aDocument);
@@ -17,17 +17,17 @@
       return tl::make_unexpected("there is no service '" + aService.str() + "'");
     }
     YAML::Node service = services[aService.str()];
-    YAML::Node kept(YAML::NodeType::Sequence);
-    const YAML::Node before = service["drained"];
-    for (std::size_t index = 0; before && index < before.size(); ++index) {
-      if (before[index].Scalar() != aRunner.str()) {
-        kept.push_back(before[index].Scalar());
+    YAML::Node drained(YAML::NodeType::Sequence);
+    const YAML::Node currentList = service["drained"];
+    for (std::size_t index = 0; currentList && index < currentList.size(); ++index) {
+      if (currentList[index].Scalar() != aRunner.str()) {
+        drained.push_back(currentList[index].Scalar());
       }
     }
     if (aDrained == Drained::kYes) {
-      kept.push_back(aRunner.str());
+      drained.push_back(aRunner.str());
     }
-    service["drained"] = kept;
+    service["drained"] = drained;
     return YAML::Dump(root) + "\n";
   } catch (const YAML::Exception& error) {
     return tl::make_unexpected(error.msg);
--- a/src/operator/drained_runner.h
+++ b/src/operator/drained_runner.h
@@ -19,10 +19,10 @@
 /* Returns the document with the runner added to the service's list of drained endpoints, or removed
  * from it. The document is parsed and written anew, so comments and layout are lost. The error says
  * why the document cannot be changed. */
-tl::expected<std::string, std::string> WithDrainedRunner(const std::string& aDocument,
-                                                         const ServiceId& aService,
-                                                         const EndpointId& aRunner,
-                                                         Drained aDrained);
+tl::expected<std::string, std::string> SetRunnerDrained(const std::string& aDocument,
+                                                        const ServiceId& aService,
+                                                        const EndpointId& aRunner,
+                                                        Drained aDrained);
 
 } // namespace rhubarbtrail
 
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -22,13 +22,13 @@
 
 using nlohmann::json;
 
-constexpr Duration kTimeout = 10s;
+constexpr Duration kCallTimeout = 10s;
 /* Time between two reads of the daemons' configuration versions. */
 constexpr Duration kPollInterval = 200ms;
 
 /* Reads a file, or standard input for "-". Prints an error and returns no value if the file cannot
  * be opened. */
-std::optional<std::string> ReadAll(const std::string& aFile)
+std::optional<std::string> ReadDocument(const std::string& aFile)
 {
   if (aFile == "-") {
     return std::string{ std::istreambuf_iterator<char>(std::cin), {} };
@@ -42,7 +42,7 @@
 }
 
 /* Prints why a call failed, with the error that the daemon answered, and returns the exit code. */
-int Explain(const HttpAnswer& aAnswer)
+int PrintError(const HttpAnswer& aAnswer)
 {
   if (aAnswer.outcome != HttpOutcome::kAnswered) {
     std::fputs("The daemon cannot be reached.\n", stderr);
@@ -74,16 +74,16 @@
   return body.contains("errors") ? kExitBadInput : kExitRefused;
 }
 
-bool IsOk(const HttpAnswer& aAnswer)
+bool IsSuccess(const HttpAnswer& aAnswer)
 {
   return aAnswer.outcome == HttpOutcome::kAnswered && aAnswer.status == 200;
 }
 
 /* Prints the body of a successful answer or the error of a failed call. Returns the exit code. */
-int Print(const HttpAnswer& aAnswer)
+int PrintAnswer(const HttpAnswer& aAnswer)
 {
-  if (!IsOk(aAnswer)) {
-    return Explain(aAnswer);
+  if (!IsSuccess(aAnswer)) {
+    return PrintError(aAnswer);
   }
   std::fputs(aAnswer.body.c_str(), stdout);
   if (!aAnswer.body.ends_with('\n')) {
@@ -102,7 +102,7 @@
 }
 
 /* Formats a time as ISO 8601 in UTC, with seconds. */
-std::string TimeText(std::int64_t aUnixMs)
+std::string FormatTime(std::int64_t aUnixMs)
 {
   const std::time_t seconds = aUnixMs / 1'000;
   std::tm parts{};
@@ -124,26 +124,26 @@
   return *command;
 }
 
-CLI::App& OperatorCommands::AddRemote(CLI::App& aParent,
-                                      const std::string& aName,
-                                      const std::string& aHelp,
-                                      std::function<int()> aRun)
+CLI::App& OperatorCommands::AddRemoteCommand(CLI::App& aParent,
+                                             const std::string& aName,
+                                             const std::string& aHelp,
+                                             std::function<int()> aRun)
 {
   // CLI11 would apply an option's environment variable for subcommands that were not called as
   // well, and all subcommands share one target. The variables are therefore read here, and only for
   // options that were not given.
-  const auto runAtTarget = [this, run = std::move(aRun)] {
-    SetFromEnvironment(mTarget.admin, "RHUBARBTRAIL_ADMIN");
+  const auto runWithTarget = [this, run = std::move(aRun)] {
+    SetFromEnvironment(mTarget.address, "RHUBARBTRAIL_ADMIN");
     SetFromEnvironment(mTarget.key, "RHUBARBTRAIL_KEY");
-    if (mTarget.admin.empty()) {
+    if (mTarget.address.empty()) {
       std::fputs("--admin or RHUBARBTRAIL_ADMIN is required.\n", stderr);
       return static_cast<int>(kExitBadInput);
     }
     return run();
   };
-  CLI::App& command = AddCommand(aParent, aName, aHelp, runAtTarget);
+  CLI::App& command = AddCommand(aParent, aName, aHelp, runWithTarget);
   command.add_option("--admin",
-                     mTarget.admin,
+                     mTarget.address,
                      "host:port of a daemon's administration API; default $RHUBARBTRAIL_ADMIN.");
   command.add_option("--key", mTarget.key, "Operator's key; default $RHUBARBTRAIL_KEY.");
   return command;
@@ -151,36 +151,36 @@
 
 void OperatorCommands::Add(CLI::App& aApp)
 {
-  AddConfig(aApp);
-  AddOperation(aApp);
+  AddConfigCommands(aApp);
+  AddOperationCommands(aApp);
 }
 
-void OperatorCommands::AddConfig(CLI::App& aApp)
+void OperatorCommands::AddConfigCommands(CLI::App& aApp)
 {
   CLI::App* config = aApp.add_subcommand("config", "Check, read and change the configuration.");
   config->require_subcommand(1);
   const char* fileHelp = "Document (YAML), or - for standard input.";
 
-  CLI::App& check =
-    AddCommand(*config, "check", "Check a document without a daemon.", [this] { return Check(); });
-  check.add_option("file", mFile, fileHelp)->required();
+  CLI::App& check = AddCommand(
+    *config, "check", "Check a document without a daemon.", [this] { return CheckDocument(); });
+  check.add_option("file", mDocumentFile, fileHelp)->required();
 
   CLI::App& show =
-    AddRemote(*config, "show", "Print a document.", [this] { return ShowDocument(); });
+    AddRemoteCommand(*config, "show", "Print a document.", [this] { return ShowDocument(); });
   show.add_option("--version", mVersion, "Version to print; the newest by default.");
 
-  CLI::App& diff =
-    AddRemote(*config, "diff", "Print what a document would change in the newest version.", [this] {
-      return ShowDiff();
-    });
-  diff.add_option("file", mFile, fileHelp)->required();
+  CLI::App& diff = AddRemoteCommand(*config,
+                                    "diff",
+                                    "Print what a document would change in the newest version.",
+                                    [this] { return ShowDiff(); });
+  diff.add_option("file", mDocumentFile, fileHelp)->required();
 
-  AddRemote(
+  AddRemoteCommand(
     *config, "history", "List who changed what, and when.", [this] { return ShowHistory(); });
 
-  CLI::App& apply = AddRemote(
+  CLI::App& apply = AddRemoteCommand(
     *config, "apply", "Accept a document as the next version.", [this] { return Apply(); });
-  auto* file = apply.add_option("file", mFile, fileHelp);
+  auto* file = apply.add_option("file", mDocumentFile, fileHelp);
   apply.add_option("--from-version", mFromVersion, "Accept an earlier version's document again.")
     ->excludes(file);
   apply.add_option("--based-on", mBasedOn, "Version that the change is based on.");
@@ -189,38 +189,40 @@
     "--wait", mWaitSeconds, "Seconds to wait until all live daemons report the version.");
 }
 
-void OperatorCommands::AddOperation(CLI::App& aApp)
+void OperatorCommands::AddOperationCommands(CLI::App& aApp)
 {
-  CLI::App& status = AddRemote(aApp, "status", "Print daemons, cells, runners and models.", [this] {
-    return Get(mIsJson ? "/status" : "/status?format=text");
-  });
+  CLI::App& status =
+    AddRemoteCommand(aApp, "status", "Print daemons, cells, runners and models.", [this] {
+      return Get(mIsJson ? "/status" : "/status?format=text");
+    });
   status.add_flag("--json", mIsJson, "Print JSON.");
 
-  CLI::App& dump = AddRemote(aApp, "dump", "Print the whole state of a daemon.", [this] {
+  CLI::App& dump = AddRemoteCommand(aApp, "dump", "Print the whole state of a daemon.", [this] {
     return Get(mIsJson ? "/dump" : "/dump?format=text");
   });
   dump.add_flag("--json", mIsJson, "Print JSON.");
 
-  CLI::App& drain =
-    AddRemote(aApp, "drain", "Let a daemon finish and end, or give a runner no new work.", [this] {
-      return Drain();
-    });
+  CLI::App& drain = AddRemoteCommand(aApp,
+                                     "drain",
+                                     "Let a daemon finish and end, or give a runner no new work.",
+                                     [this] { return Drain(); });
   auto* runner = drain.add_option("--runner", mRunner, "Runner to drain in the configuration.");
   runner->needs(drain.add_option("--service", mService, "Service of the runner."));
   drain.add_flag("--undo", mIsUndo, "Give the runner work again.")->needs(runner);
 
-  CLI::App& level = AddRemote(
-    aApp, "log-level", "Change what a daemon logs.", [this] { return Post("/log-level", mWord); });
-  level.add_option("level", mWord, "debug, info, warn or error.")->required();
+  CLI::App& level = AddRemoteCommand(aApp, "log-level", "Change what a daemon logs.", [this] {
+    return Post("/log-level", mArgument);
+  });
+  level.add_option("level", mArgument, "debug, info, warn or error.")->required();
 
   CLI::App* quarantine =
     aApp.add_subcommand("quarantine", "Requests that are refused since they crashed endpoints.");
   quarantine->require_subcommand(1);
-  AddRemote(*quarantine, "list", "List them.", [this] { return Get("/quarantine"); });
-  CLI::App& release = AddRemote(*quarantine, "release", "Let one run again.", [this] {
-    return Post("/quarantine/release", mWord);
+  AddRemoteCommand(*quarantine, "list", "List them.", [this] { return Get("/quarantine"); });
+  CLI::App& release = AddRemoteCommand(*quarantine, "release", "Let one run again.", [this] {
+    return Post("/quarantine/release", mArgument);
   });
-  release.add_option("fingerprint", mWord, "Fingerprint, as listed.")->required();
+  release.add_option("fingerprint", mArgument, "Fingerprint, as listed.")->required();
 }
 
 HttpAnswer OperatorCommands::Call(const std::string& aMethod,
@@ -228,13 +230,13 @@
                                   std::string aBody,
                                   std::optional<std::uint64_t> aBasedOn) const
 {
-  HttpCall call{ .address = mTarget.admin,
+  HttpCall call{ .address = mTarget.address,
                  .method = aMethod,
                  .path = aPath,
                  .body = std::move(aBody),
                  .contentType = "application/yaml",
                  .headers = { { "Authorization", "Bearer " + mTarget.key } },
-                 .timeout = kTimeout };
+                 .timeout = kCallTimeout };
   if (aBasedOn) {
     call.headers.emplace_back("If-Match", std::to_string(*aBasedOn));
     call.headers.emplace_back("X-Comment", mComment);
@@ -244,22 +246,22 @@
 
 int OperatorCommands::Get(const std::string& aPath) const
 {
-  return Print(Call("GET", aPath));
+  return PrintAnswer(Call("GET", aPath));
 }
 
 int OperatorCommands::Post(const std::string& aPath, std::string aBody) const
 {
   const HttpAnswer answer = Call("POST", aPath, std::move(aBody));
-  if (!IsOk(answer)) {
-    return Explain(answer);
+  if (!IsSuccess(answer)) {
+    return PrintError(answer);
   }
   std::puts("Done.");
   return kExitOk;
 }
 
-int OperatorCommands::Check() const
+int OperatorCommands::CheckDocument() const
 {
-  const auto document = ReadAll(mFile);
+  const auto document = ReadDocument(mDocumentFile);
   if (!document) {
     return kExitBadInput;
   }
@@ -271,7 +273,7 @@
   for (const DocumentError& error : parsed.error()) {
     std::fprintf(stderr,
                  "%s:%d: %s: %s\n",
-                 mFile.c_str(),
+                 mDocumentFile.c_str(),
                  error.line,
                  error.path.c_str(),
                  error.reason.c_str());
@@ -286,13 +288,13 @@
 
 int OperatorCommands::ShowDiff() const
 {
-  const auto document = ReadAll(mFile);
+  const auto document = ReadDocument(mDocumentFile);
   if (!document) {
     return kExitBadInput;
   }
   const HttpAnswer answer = Call("POST", "/configuration/diff", *document);
-  if (!IsOk(answer)) {
-    return Explain(answer);
+  if (!IsSuccess(answer)) {
+    return PrintError(answer);
   }
   const json body = json::parse(answer.body);
   std::printf("Based on version %s:\n", body["based_on"].dump().c_str());
@@ -308,13 +310,13 @@
 int OperatorCommands::ShowHistory() const
 {
   const HttpAnswer answer = Call("GET", "/configuration/history");
-  if (!IsOk(answer)) {
-    return Explain(answer);
+  if (!IsSuccess(answer)) {
+    return PrintError(answer);
   }
   for (const json& entry : json::parse(answer.body)) {
     std::printf("%6s  %s  %-16s  %3s changes  %s\n",
                 entry["version"].dump().c_str(),
-                TimeText(entry["accepted_at_unix_ms"]).c_str(),
+                FormatTime(entry["accepted_at_unix_ms"]).c_str(),
                 entry["author"].get<std::string>().c_str(),
                 entry["changes"].dump().c_str(),
                 entry["comment"].get<std::string>().c_str());
@@ -325,8 +327,8 @@
 std::optional<std::uint64_t> OperatorCommands::NewestVersion() const
 {
   const HttpAnswer answer = Call("GET", "/configuration/history?limit=1");
-  if (!IsOk(answer)) {
-    Explain(answer);
+  if (!IsSuccess(answer)) {
+    PrintError(answer);
     return std::nullopt;
   }
   const json list = json::parse(answer.body);
@@ -337,58 +339,58 @@
 {
   if (mFromVersion) {
     const auto newest = mBasedOn ? mBasedOn : NewestVersion();
-    return newest ? Accept("/configuration?from_version=" + std::to_string(*mFromVersion),
-                           "from_version",
-                           *newest)
+    return newest ? SubmitDocument("/configuration?from_version=" + std::to_string(*mFromVersion),
+                                   "from_version",
+                                   *newest)
                   : kExitRefused;
   }
-  if (mFile.empty() || !mBasedOn) {
+  if (mDocumentFile.empty() || !mBasedOn) {
     std::fputs("A file and --based-on, or --from-version, are required.\n", stderr);
     return kExitBadInput;
   }
-  const auto document = ReadAll(mFile);
-  return document ? Accept("/configuration", *document, *mBasedOn) : kExitBadInput;
+  const auto document = ReadDocument(mDocumentFile);
+  return document ? SubmitDocument("/configuration", *document, *mBasedOn) : kExitBadInput;
 }
 
-int OperatorCommands::Accept(const std::string& aPath,
-                             std::string aDocument,
-                             std::uint64_t aBasedOn) const
+int OperatorCommands::SubmitDocument(const std::string& aPath,
+                                     std::string aDocument,
+                                     std::uint64_t aBasedOn) const
 {
   const HttpAnswer answer = Call("POST", aPath, std::move(aDocument), aBasedOn);
-  if (!IsOk(answer)) {
-    return Explain(answer);
+  if (!IsSuccess(answer)) {
+    return PrintError(answer);
   }
   const auto version = json::parse(answer.body)["version"].get<std::uint64_t>();
   std::printf("Version %llu was accepted.\n", static_cast<unsigned long long>(version));
-  return mWaitSeconds > 0 ? WaitForAll(version) : kExitOk;
+  return mWaitSeconds > 0 ? WaitForAllDaemons(version) : kExitOk;
 }
 
-int OperatorCommands::WaitForAll(std::uint64_t aVersion) const
+int OperatorCommands::WaitForAllDaemons(std::uint64_t aVersion) const
 {
-  const auto end = std::chrono::steady_clock::now() + std::chrono::seconds{ mWaitSeconds };
-  std::vector<std::string> late;
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds{ mWaitSeconds };
+  std::vector<std::string> outdatedDaemons;
   do {
     const HttpAnswer answer = Call("GET", "/status");
-    if (!IsOk(answer)) {
-      return Explain(answer);
+    if (!IsSuccess(answer)) {
+      return PrintError(answer);
     }
     const json status = json::parse(answer.body);
-    late.clear();
+    outdatedDaemons.clear();
     if (status["configuration"].get<std::uint64_t>() < aVersion) {
-      late.push_back(status.value("daemon", "?"));
+      outdatedDaemons.push_back(status.value("daemon", "?"));
     }
     for (const auto& [id, daemon] : status["daemons"].items()) {
       if (daemon.value("configuration", std::uint64_t{ 0 }) < aVersion) {
-        late.push_back(id);
+        outdatedDaemons.push_back(id);
       }
     }
-    if (late.empty()) {
+    if (outdatedDaemons.empty()) {
       std::puts("All live daemons report it.");
       return kExitOk;
     }
     std::this_thread::sleep_for(kPollInterval);
-  } while (std::chrono::steady_clock::now() < end);
-  for (const std::string& daemon : late) {
+  } while (std::chrono::steady_clock::now() < deadline);
+  for (const std::string& daemon : outdatedDaemons) {
     std::fprintf(stderr, "%s does not report it.\n", daemon.c_str());
   }
   return kExitRefused;
@@ -404,18 +406,18 @@
     return kExitRefused;
   }
   const HttpAnswer answer = Call("GET", "/configuration?version=" + std::to_string(*newest));
-  if (!IsOk(answer)) {
-    return Explain(answer);
+  if (!IsSuccess(answer)) {
+    return PrintError(answer);
   }
-  const auto document = WithDrainedRunner(answer.body,
-                                          ServiceId{ mService },
-                                          EndpointId{ mRunner },
-                                          mIsUndo ? Drained::kNo : Drained::kYes);
+  const auto document = SetRunnerDrained(answer.body,
+                                         ServiceId{ mService },
+                                         EndpointId{ mRunner },
+                                         mIsUndo ? Drained::kNo : Drained::kYes);
   if (!document) {
     std::fprintf(stderr, "%s.\n", document.error().c_str());
     return kExitBadInput;
   }
-  return Accept("/configuration", *document, *newest);
+  return SubmitDocument("/configuration", *document, *newest);
 }
 
 } // namespace rhubarbtrail
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -28,10 +28,10 @@
 
 private:
   /* The daemon to call. */
-  struct Target
+  struct AdminTarget
   {
-    std::string admin; ///< host:port of a daemon's administration API.
-    std::string key;   ///< Operator key that the call carries.
+    std::string address; ///< host:port of a daemon's administration API.
+    std::string key;     ///< Operator key that the call carries.
   };
 
   /* Adds a subcommand that Run() executes with aRun if it was parsed. */
@@ -41,13 +41,13 @@
                        std::function<int()> aRun);
 
   /* Adds a subcommand that calls a daemon, with options for the daemon's address and the key. */
-  CLI::App& AddRemote(CLI::App& aParent,
-                      const std::string& aName,
-                      const std::string& aHelp,
-                      std::function<int()> aRun);
+  CLI::App& AddRemoteCommand(CLI::App& aParent,
+                             const std::string& aName,
+                             const std::string& aHelp,
+                             std::function<int()> aRun);
 
-  void AddConfig(CLI::App& aApp);
-  void AddOperation(CLI::App& aApp);
+  void AddConfigCommands(CLI::App& aApp);
+  void AddOperationCommands(CLI::App& aApp);
 
   /* Calls the administration API. A value for aBasedOn makes it the call that changes the
    * configuration: the base version and the comment are sent as headers. */
@@ -60,7 +60,7 @@
    * code. */
   int Get(const std::string& aPath) const;
   int Post(const std::string& aPath, std::string aBody) const;
-  int Check() const;
+  int CheckDocument() const;
   int ShowDocument() const;
   int ShowDiff() const;
   int ShowHistory() const;
@@ -68,10 +68,10 @@
 
   /* Sends a document to be accepted as the next version, and waits for all daemons if --wait was
    * given. */
-  int Accept(const std::string& aPath, std::string aDocument, std::uint64_t aBasedOn) const;
+  int SubmitDocument(const std::string& aPath, std::string aDocument, std::uint64_t aBasedOn) const;
 
   /* Waits until all live daemons report a configuration version, or until --wait has passed. */
-  int WaitForAll(std::uint64_t aVersion) const;
+  int WaitForAllDaemons(std::uint64_t aVersion) const;
 
   /* Drains a daemon, or with --runner, changes the drained endpoints in the configuration. */
   int Drain() const;
@@ -80,10 +80,10 @@
    * no value if the call fails. */
   std::optional<std::uint64_t> NewestVersion() const;
 
-  Target mTarget;
-  std::string mFile;
+  AdminTarget mTarget;
+  std::string mDocumentFile;
   std::string mComment;
-  std::string mWord; ///< Log level or fingerprint.
+  std::string mArgument; ///< Log level or fingerprint.
   std::string mService;
   std::string mRunner;
   std::optional<std::uint64_t> mBasedOn;
--- a/src/operator/operator_keys.cpp
+++ b/src/operator/operator_keys.cpp
@@ -16,11 +16,11 @@
 
 /* Returns the text of a required field. If it is missing or not a scalar, sets the error and
  * returns an empty text. */
-std::string Field(const YAML::Node& aItem, const char* aName, std::string& aFault)
+std::string ReadRequiredField(const YAML::Node& aItem, const char* aName, std::string& aError)
 {
   const YAML::Node value = aItem[aName];
   if (!value || !value.IsScalar()) {
-    aFault = std::string{ aName } + " is missing";
+    aError = std::string{ aName } + " is missing";
     return {};
   }
   return value.Scalar();
@@ -42,28 +42,28 @@
       return tl::make_unexpected("unknown key '" + name + "'");
     }
   }
-  std::string fault;
+  std::string missingField;
   OperatorKey key;
-  key.name = Field(aItem, "name", fault);
-  key.hash = Field(aItem, "hash", fault);
-  const auto role = sRoles.find(Field(aItem, "role", fault));
-  if (!fault.empty()) {
-    return tl::make_unexpected(fault);
+  key.name = ReadRequiredField(aItem, "name", missingField);
+  key.hash = ReadRequiredField(aItem, "hash", missingField);
+  const auto role = sRoles.find(ReadRequiredField(aItem, "role", missingField));
+  if (!missingField.empty()) {
+    return tl::make_unexpected(missingField);
   }
   if (role == sRoles.end()) {
     return tl::make_unexpected("role must be view, operate or configure");
   }
   key.role = role->second;
-  const bool isHash = key.hash.size() == kHashDigits &&
-                      key.hash.find_first_not_of("0123456789abcdef") == std::string::npos;
-  if (!isHash) {
+  const bool isValidHash = key.hash.size() == kHashDigits &&
+                           key.hash.find_first_not_of("0123456789abcdef") == std::string::npos;
+  if (!isValidHash) {
     return tl::make_unexpected("hash must be a SHA-256 in 64 lower-case hex digits");
   }
-  const bool isName =
+  const bool isValidName =
     !key.name.empty() && std::all_of(key.name.begin(), key.name.end(), [](unsigned char aChar) {
       return std::isgraph(aChar) != 0;
     });
-  if (!isName) {
+  if (!isValidName) {
     return tl::make_unexpected("name must be a word");
   }
   return key;
@@ -80,14 +80,14 @@
     }
     std::vector<OperatorKey> keys;
     for (const auto& item : root) {
-      const std::string place = aFile + ":" + std::to_string(item.Mark().line + 1) + ": ";
+      const std::string location = aFile + ":" + std::to_string(item.Mark().line + 1) + ": ";
       auto key = ReadKey(item);
       if (!key) {
-        return tl::make_unexpected(place + key.error());
+        return tl::make_unexpected(location + key.error());
       }
       for (const OperatorKey& other : keys) {
         if (other.hash == key->hash || other.name == key->name) {
-          return tl::make_unexpected(place + "the key of '" + other.name + "' appears again");
+          return tl::make_unexpected(location + "the key of '" + other.name + "' appears again");
         }
       }
       keys.push_back(std::move(*key));
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -96,7 +96,7 @@
   std::set<std::string> registered;
   const auto describe = [](const AdminRoute& aCall) {
     return aCall.method + " " + aCall.path + " " +
-           (aCall.role ? std::to_string(static_cast<int>(*aCall.role)) : "open");
+           (aCall.requiredRole ? std::to_string(static_cast<int>(*aCall.requiredRole)) : "open");
   };
   for (const AdminRoute& call : kCalls) {
     expected.insert(describe(call));
@@ -121,11 +121,11 @@
       INFO("with '" << wrong << "'");
       const int expected = wrong == "Bearer wrong" ? 403 : 401;
       const int status = fixture.Call(call, wrong);
-      CHECK((call.role ? status == expected : status != 401 && status != 403));
+      CHECK((call.requiredRole ? status == expected : status != 401 && status != 403));
     }
     for (const auto& [key, role] : keys) {
       const int status = fixture.Call(call, key);
-      const bool isAllowed = !call.role || role >= *call.role;
+      const bool isAllowed = !call.requiredRole || role >= *call.requiredRole;
       CHECK((status == 403) == !isAllowed);
       CHECK(status != 401);
     }
--- a/tests/unit/config_diff_test.cpp
+++ b/tests/unit/config_diff_test.cpp
@@ -37,7 +37,7 @@
   REQUIRE(before.has_value());
   REQUIRE(after.has_value());
   std::vector<std::string> texts;
-  for (const ConfigurationChange& change : Diff(*before, *after)) {
+  for (const ConfigurationChange& change : DiffConfigurations(*before, *after)) {
     texts.push_back(ToText(change));
   }
   return texts;
@@ -72,13 +72,13 @@
 {
   const ServiceId service{ "language" };
   const EndpointId runner{ "runner-3" };
-  const auto drained = WithDrainedRunner(kBefore, service, runner, Drained::kYes);
+  const auto drained = SetRunnerDrained(kBefore, service, runner, Drained::kYes);
   REQUIRE(drained.has_value());
   CHECK(Texts(kBefore, *drained) ==
         std::vector<std::string>{ "changed services.language.drained: [] -> [runner-3]" });
-  CHECK(WithDrainedRunner(*drained, service, runner, Drained::kYes) == drained);
-  const auto restored = WithDrainedRunner(*drained, service, runner, Drained::kNo);
+  CHECK(SetRunnerDrained(*drained, service, runner, Drained::kYes) == drained);
+  const auto restored = SetRunnerDrained(*drained, service, runner, Drained::kNo);
   REQUIRE(restored.has_value());
   CHECK(Texts(kBefore, *restored).empty());
-  CHECK_FALSE(WithDrainedRunner(kBefore, ServiceId{ "x" }, runner, Drained::kYes).has_value());
+  CHECK_FALSE(SetRunnerDrained(kBefore, ServiceId{ "x" }, runner, Drained::kYes).has_value());
 }
