--- a/src/config/document_reader.cpp
+++ b/src/config/document_reader.cpp
@@ -49,8 +49,8 @@
                               std::string aReason)
 {
   if (aNode.IsNull() && HasPath(aPath)) {
-    AddErrorAt(aPath,
-               std::move(aReason)); // A missing value has no line, so that of its key is used.
+    // A missing value has no line, so the line of its key is used.
+    AddErrorAt(aPath, std::move(aReason));
     return;
   }
   mErrors.push_back({ LineOf(aNode), aPath, std::move(aReason) });
--- a/src/load/load_report.h
+++ b/src/load/load_report.h
@@ -24,7 +24,7 @@
  * cover the requests with status 200 only. */
 nlohmann::json MakeReport(const Scenario& aScenario, const std::vector<RequestOutcome>& aOutcomes);
 
-/* Formats a report as a table with one line per group. */
+/* Formats a report as a table with one row per group. */
 std::string FormatReport(const nlohmann::json& aReport);
 
 /* Formats a table that shows the latencies of two reports side by side, for the groups that both
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -362,7 +362,7 @@
       AnswerError(aResponse, 404, "the version to go back to cannot be read");
       return;
     }
-    proposal.document = row->document;
+    proposal.document = row->document; // The request body is ignored.
   }
   const auto acceptedRow = store.Accept(proposal);
   if (!acceptedRow) {
--- a/src/operator/admin_server.h
+++ b/src/operator/admin_server.h
@@ -32,7 +32,7 @@
   std::function<std::string()> metrics;
   /* Called after this server has accepted a configuration version. */
   std::function<void(ConfigurationRow)> accepted;
-  /* Makes the daemon finish its open requests and exit. */
+  /* Shuts the daemon down, which first finishes its open requests within the shutdown limit. */
   std::function<void()> drain;
   /* Releases a request from quarantine on all daemons. */
   std::function<void(FingerprintId)> release;
--- a/src/operator/configuration_store.h
+++ b/src/operator/configuration_store.h
@@ -25,7 +25,7 @@
 enum class ProposalErrorCode : std::uint8_t
 {
   kInvalid,     ///< The document has errors, which ProposalError::errors lists.
-  kConflict,    ///< Another version was accepted after the one that the proposal is based on.
+  kConflict,    ///< The proposal is not based on the newest version.
   kUnknown,     ///< It is not known whether the write succeeded. The document may be accepted.
   kUnavailable, ///< The table cannot be read. Nothing was changed.
 };
@@ -55,8 +55,8 @@
    * cannot be read. */
   std::optional<ConfigurationRow> ReadVersion(ConfigVersion aVersion) const;
 
-  /* Validates a document and stores it as the next version, unless another version was accepted
-   * after the one that the proposal is based on. */
+  /* Validates a document and stores it as the next version. Fails with kConflict if the proposal is
+   * not based on the newest version, also if another version is accepted at the same time. */
   tl::expected<ConfigurationRow, ProposalError> Accept(
     const ConfigurationProposal& aProposal) const;
 
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -338,6 +338,7 @@
 int OperatorCommands::Apply() const
 {
   if (mFromVersion) {
+    // The daemon takes the document from the history and ignores the body.
     const auto newest = mBasedOn ? mBasedOn : NewestVersion();
     return newest ? SubmitDocument("/configuration?from_version=" + std::to_string(*mFromVersion),
                                    "from_version",
@@ -399,6 +400,7 @@
 int OperatorCommands::Drain() const
 {
   if (mRunner.empty()) {
+    // The daemon ignores the body.
     return Post("/drain", "drain");
   }
   const auto newest = NewestVersion();
