--- a/src/config/configuration_document.cpp
+++ b/src/config/configuration_document.cpp
@@ -23,7 +23,9 @@
 };
 
 /* Reports parameters of other keep-alive policies than the chosen one. */
-void ReportParametersOfOtherPolicies(DocumentReader& aReader, PathRef aPath, KeepAliveKind aKind)
+void ReportParametersOfOtherPolicies(DocumentReader& aReader,
+                                     PathRef aPath,
+                                     KeepAliveKind aChosenKind)
 {
   struct Parameter
   {
@@ -37,7 +39,7 @@
                                     Parameter{ "cold_start_weight", KeepAliveKind::kCostAware } };
   for (const Parameter& parameter : kParameters) {
     const std::string path = aPath + "." + parameter.name;
-    if (parameter.kind != aKind && aReader.HasPath(path)) {
+    if (parameter.kind != aChosenKind && aReader.HasPath(path)) {
       aReader.AddErrorAt(path, "belongs to another policy");
     }
   }
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -79,11 +79,12 @@
   std::vector<std::atomic<std::size_t>> nextInGroup(requestsByGroup.size());
   const auto sendRequestsOf = [&](std::size_t aGroup) {
     const std::vector<std::size_t>& indices = requestsByGroup[aGroup];
-    for (std::size_t n = nextInGroup[aGroup]++; n < indices.size(); n = nextInGroup[aGroup]++) {
-      const PlannedRequest& planned = plan[indices[n]];
+    for (std::size_t position = nextInGroup[aGroup]++; position < indices.size();
+         position = nextInGroup[aGroup]++) {
+      const PlannedRequest& planned = plan[indices[position]];
       const Clock::time_point plannedStart = start + planned.plannedStart;
       std::this_thread::sleep_until(plannedStart);
-      outcomes[indices[n]] =
+      outcomes[indices[position]] =
         Send(aScenario.groups[aGroup], planned, aDaemonAddresses[planned.daemon], plannedStart);
       ++endedCount;
     }
--- a/src/operator/configuration_store.cpp
+++ b/src/operator/configuration_store.cpp
@@ -96,16 +96,16 @@
   // transaction reached the table twice. The change id of the stored row tells whether it was
   // committed.
   for (int attempt = 0; attempt < kReadBackAttempts; ++attempt) {
-    const auto latest = ReadHead();
-    if (!latest) {
+    const auto newHead = ReadHead();
+    if (!newHead) {
       continue;
     }
-    const auto written = latest->row.version == version ? latest->row : ReadVersion(version);
+    const auto written = newHead->row.version == version ? newHead->row : ReadVersion(version);
     if (written && written->change == row.change) {
       return row;
     }
-    if (latest->row.version >= version) {
-      return MakeError(ProposalErrorCode::kConflict, latest->row);
+    if (newHead->row.version >= version) {
+      return MakeError(ProposalErrorCode::kConflict, newHead->row);
     }
   }
   return MakeError(ProposalErrorCode::kUnknown);
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -193,14 +193,14 @@
 {
   CLI::App& status =
     AddRemoteCommand(aApp, "status", "Print daemons, cells, runners and models.", [this] {
-      return Get(mIsJson ? "/status" : "/status?format=text");
+      return Get(mPrintsJson ? "/status" : "/status?format=text");
     });
-  status.add_flag("--json", mIsJson, "Print JSON.");
+  status.add_flag("--json", mPrintsJson, "Print JSON.");
 
   CLI::App& dump = AddRemoteCommand(aApp, "dump", "Print the whole state of a daemon.", [this] {
-    return Get(mIsJson ? "/dump" : "/dump?format=text");
+    return Get(mPrintsJson ? "/dump" : "/dump?format=text");
   });
-  dump.add_flag("--json", mIsJson, "Print JSON.");
+  dump.add_flag("--json", mPrintsJson, "Print JSON.");
 
   CLI::App& drain = AddRemoteCommand(aApp,
                                      "drain",
@@ -208,7 +208,7 @@
                                      [this] { return Drain(); });
   auto* runner = drain.add_option("--runner", mRunner, "Runner to drain in the configuration.");
   runner->needs(drain.add_option("--service", mService, "Service of the runner."));
-  drain.add_flag("--undo", mIsUndo, "Give the runner work again.")->needs(runner);
+  drain.add_flag("--undo", mUndoesDrain, "Give the runner work again.")->needs(runner);
 
   CLI::App& level = AddRemoteCommand(aApp, "log-level", "Change what a daemon logs.", [this] {
     return Post("/log-level", mArgument);
@@ -414,7 +414,7 @@
   const auto document = SetRunnerDrained(answer.body,
                                          ServiceId{ mService },
                                          EndpointId{ mRunner },
-                                         mIsUndo ? Drained::kNo : Drained::kYes);
+                                         mUndoesDrain ? Drained::kNo : Drained::kYes);
   if (!document) {
     std::fprintf(stderr, "%s.\n", document.error().c_str());
     return kExitBadInput;
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -90,8 +90,8 @@
   std::optional<std::uint64_t> mFromVersion; ///< Version whose document is accepted again.
   std::optional<std::uint64_t> mVersion;
   std::uint32_t mWaitSeconds = 0;
-  bool mIsJson = false;
-  bool mIsUndo = false;
+  bool mPrintsJson = false;
+  bool mUndoesDrain = false;
   std::function<int()> mRun; ///< Runs the parsed subcommand.
 };
 
