--- a/src/config/document_shape.cpp
+++ b/src/config/document_shape.cpp
@@ -1,4 +1,4 @@
-/* The outer shape of a document. */
+/* Checks the YAML structure of a document. */
 #include "config/document_shape.h"
 
 #include <algorithm>
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr std::size_t kDocumentLimitBytes = 4U << 20U;
-/* The deepest value of a valid document is at models/NAME/adapters/NAME/memory_mb. */
+/* Deepest nesting of mappings and lists. A valid document needs 5 levels at most, for example for
+ * models/NAME/adapters/NAME/memory_mb. */
 constexpr int kDepthLimit = 16;
 
-/* Looks at the events of a parse; keeps the first fault of each kind. */
+/* Checks the events of the YAML parser. Keeps only the first error of each kind. */
 class ShapeHandler : public YAML::EventHandler
 {
 public:
@@ -23,7 +24,7 @@
   void OnNull(const YAML::Mark& /*aMark*/, YAML::anchor_t /*aAnchor*/) override {}
   void OnAlias(const YAML::Mark& aMark, YAML::anchor_t /*aAnchor*/) override
   {
-    Fail(aMark, "aliases are not supported; write the value out");
+    AddError(aMark, "aliases are not supported; write the value out");
   }
   void OnScalar(const YAML::Mark& /*aMark*/,
                 const std::string& /*aTag*/,
@@ -36,7 +37,7 @@
                        YAML::anchor_t /*aAnchor*/,
                        YAML::EmitterStyle::value /*aStyle*/) override
   {
-    Enter(aMark);
+    EnterCollection(aMark);
   }
   void OnSequenceEnd() override { --mDepth; }
   void OnMapStart(const YAML::Mark& aMark,
@@ -44,7 +45,7 @@
                   YAML::anchor_t /*aAnchor*/,
                   YAML::EmitterStyle::value /*aStyle*/) override
   {
-    Enter(aMark);
+    EnterCollection(aMark);
   }
   void OnMapEnd() override { --mDepth; }
 
@@ -52,17 +53,17 @@
   std::vector<DocumentError>& errors() { return mErrors; }
 
 private:
-  void Enter(const YAML::Mark& aMark)
+  void EnterCollection(const YAML::Mark& aMark)
   {
     if (++mDepth > kDepthLimit) {
-      Fail(aMark, "is nested too deeply");
+      AddError(aMark, "is nested too deeply");
     }
   }
-  void Fail(const YAML::Mark& aMark, const std::string& aReason)
+  void AddError(const YAML::Mark& aMark, const std::string& aReason)
   {
-    const bool isKnown = std::any_of(
+    const bool isReported = std::any_of(
       mErrors.begin(), mErrors.end(), [&](const auto& aError) { return aError.reason == aReason; });
-    if (!isKnown) {
+    if (!isReported) {
       mErrors.push_back({ aMark.line + 1, "", aReason });
     }
   }
@@ -72,8 +73,9 @@
   std::vector<DocumentError> mErrors;
 };
 
-/* Returns whether flow collections may be nested deeper than allowed. */
-bool MayBeDeep(const std::string& aDocument)
+/* Returns whether the brackets and braces are nested deeper than allowed. Those in quoted texts and
+ * comments are counted as well. */
+bool HasDeepBrackets(const std::string& aDocument)
 {
   int depth = 0;
   for (const char character : aDocument) {
@@ -86,15 +88,16 @@
   return false;
 }
 
-/* Returns whether the document can be free of what the pass over its events looks for. That pass
- * takes as long as the reading itself, and most documents need none. */
-bool IsPlain(const std::string& aDocument)
+/* Returns whether a search of the text finds no document markers, no aliases and no deeply nested
+ * brackets, so that the pass over the parser events can be skipped. That pass takes as long as
+ * loading the document, and most documents do not need it. */
+bool CanSkipEventPass(const std::string& aDocument)
 {
-  const bool hasMarkers = aDocument.find("---") != std::string::npos ||
-                          aDocument.find("...") != std::string::npos ||
-                          aDocument.find('*') != std::string::npos;
+  const bool hasMarkersOrAliases = aDocument.find("---") != std::string::npos ||
+                                   aDocument.find("...") != std::string::npos ||
+                                   aDocument.find('*') != std::string::npos;
   const bool hasText = aDocument.find_first_not_of(" \t\r\n") != std::string::npos;
-  return hasText && !hasMarkers && !MayBeDeep(aDocument);
+  return hasText && !hasMarkersOrAliases && !HasDeepBrackets(aDocument);
 }
 
 } // namespace
@@ -104,7 +107,7 @@
   if (aDocument.size() > kDocumentLimitBytes) {
     return { { 1, "", "is larger than 4 MiB" } };
   }
-  if (IsPlain(aDocument)) {
+  if (CanSkipEventPass(aDocument)) {
     return {};
   }
   std::istringstream stream(aDocument);
