--- a/tests/fleet/dispatcher_test.cpp
+++ b/tests/fleet/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-/* The dispatcher under load and faults, in given time. */
+/* The dispatcher under load and faults, in simulated time. */
 #include "tests/fleet/fleet_world.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
   }
 }
 
-/* Asks for adapters of one model, by number, with a pause after each. */
+/* Sends a request for each adapter of m0 from aFirst to aLast, with a pause after each. */
 void AskAdapters(FleetWorld& aWorld, int aFirst, int aLast, Duration aPause)
 {
   for (int adapter = aFirst; adapter <= aLast; ++adapter) {
@@ -37,7 +37,7 @@
   CHECK(world.orders == 0);
 }
 
-TEST_CASE("a request for a model that nobody holds gets it within a swap")
+TEST_CASE("a request for a model that no runner holds is served after one swap")
 {
   FleetWorld world({ .models = 12 });
   world.Ask("m11");
@@ -47,7 +47,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("one caller and a hundred callers of a cold model lead to one load")
+TEST_CASE("one request and a hundred requests for a model that no runner holds cause one load")
 {
   for (const int callers : { 1, 100 }) {
     FleetWorld world({ .models = 12, .slots = 128 });
@@ -59,9 +59,10 @@
   }
 }
 
-TEST_CASE("an unload waits for its runs, and is not taken for done before")
+TEST_CASE("an unload does not count as done while requests still use the model")
 {
-  // The former dispatcher's requests still run on every replica, unknown to the new one.
+  // Requests that the former dispatcher assigned still run on every replica. The new dispatcher
+  // does not know of them.
   FleetWorld world({ .runners = 1, .models = 6 });
   world.runTime = 3s;
   for (const char* model : { "m0", "m1", "m2" }) {
@@ -76,11 +77,11 @@
   CHECK(world.runners[0].models.size() == 3);
 }
 
-TEST_CASE("a load that a former holder has ordered keeps its room")
+TEST_CASE("memory stays reserved for a load that a former dispatcher ordered")
 {
   FleetWorld world({ .runners = 1, .models = 6, .storeLoadTime = 3s, .hasAllOnDisk = false });
   world.Ask("m4");
-  world.Run(500ms); // The room has been made and the load is under way.
+  world.Run(500ms); // A model was unloaded for m4, and the load of m4 is in progress.
   REQUIRE(world.runners[0].order.has_value());
   world.TakeOver();
   world.Ask("m5");
@@ -89,12 +90,12 @@
   CHECK(world.Holding("m5") == 1);
 }
 
-TEST_CASE("a runner's entry does not replace what its report has said")
+TEST_CASE("an outdated entry of a runner does not replace holdings that a report has confirmed")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 12 });
   const SimRunner before = world.runners[0];
   AskAdapters(world, 1, 8, 100ms);
-  // An entry written before the adapters came arrives late.
+  // An entry from before the adapters were loaded arrives late.
   const SimRunner after = world.runners[0];
   world.runners[0].models = before.models;
   world.Announce(0);
@@ -107,7 +108,7 @@
   CHECK(world.Served() == 10);
 }
 
-TEST_CASE("an order without an answer is settled by the runner's report")
+TEST_CASE("the runner's report shows whether an order without an answer was carried out")
 {
   for (const bool isCarriedOut : { true, false }) {
     FleetWorld world({ .runners = 1, .models = 6 });
@@ -129,10 +130,11 @@
   }
 }
 
-TEST_CASE("the count of a late order does not stand for the order after it")
+TEST_CASE("an order that is carried out late is not mistaken for the order after it")
 {
-  // The load of an adapter is given up unanswered, and so is the unload after it; then the runner
-  // carries out the first one, and its count moves.
+  // The load of an adapter gets no answer, and neither does the unload after it. Then the runner
+  // carries out the load, which increases its order count. The dispatcher must not conclude from
+  // the count that the unload was carried out.
   FleetWorld world({ .runners = 1, .models = 6, .adapters = 4 });
   int number = 0;
   world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
@@ -187,7 +189,7 @@
   }
 }
 
-TEST_CASE("a runner that starts anew is believed to hold nothing")
+TEST_CASE("a restarted runner is assumed to hold nothing")
 {
   FleetWorld world({ .runners = 1, .models = 3 });
   world.Restart(0);
@@ -199,7 +201,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("a leaving runner gets neither requests nor orders")
+TEST_CASE("a draining runner gets neither requests nor orders")
 {
   FleetWorld world({ .runners = 2, .models = 6 });
   world.Leave(0);
@@ -210,7 +212,7 @@
   CHECK(world.runners[1].models.contains(ModelId{ "m0" }));
 }
 
-TEST_CASE("without the right to give orders, held models are served and others are refused in time")
+TEST_CASE("without order permission, requests for held models are served and others are refused")
 {
   FleetWorld world({ .models = 12 });
   world.SetOrders(false);
@@ -222,7 +224,7 @@
   CHECK(world.orders == 0);
 }
 
-TEST_CASE("more adapters than slots are loaded one after the other, and never too many")
+TEST_CASE("more adapters than slots are loaded in turn, never more than the slots at once")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 20, .adapterSlots = 4 });
   world.runTime = 200ms;
@@ -232,13 +234,13 @@
   CheckSound(world);
 }
 
-TEST_CASE("an adapter that requests unknown to the dispatcher use keeps its slot")
+TEST_CASE("an adapter in use by requests unknown to the dispatcher keeps its slot")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
   world.runTime = 6s;
   AskAdapters(world, 1, 4, 100ms);
   world.TakeOver();
-  world.Run(3'500ms); // Orders may be given again; the first four requests still run.
+  world.Run(3'500ms); // Orders are allowed again, and the first four requests still run.
   for (int adapter = 5; adapter <= 8; ++adapter) {
     world.Ask("m0", "a" + std::to_string(adapter));
   }
@@ -247,7 +249,7 @@
   CHECK(world.Served() == 8);
 }
 
-TEST_CASE("the more urgent request goes first when a place is free")
+TEST_CASE("the more urgent request is served first when a slot becomes free")
 {
   FleetWorld world({ .runners = 1, .models = 3, .slots = 1 });
   world.Ask("m0");
@@ -259,10 +261,11 @@
   CHECK_FALSE(world.outcomes[later].startedAt.has_value());
 }
 
-TEST_CASE("load: many rare models beside a busy one, all served within their objective")
+TEST_CASE(
+  "load: many rare models beside two busy ones, 95 % of requests within the latency objective")
 {
-  // Half of the requests ask for two busy models, the others for 45 rare ones in turn: the load of
-  // a site with 9 runners of 3 places each.
+  // Every 150 ms a request for one of two busy models, and every 270 ms one for a random one of 45
+  // rare models: the load of a site with 9 runners that hold 3 models each.
   FleetWorld world({ .runners = 9, .models = 47 });
   std::uniform_int_distribution<int> rare(2, 46);
   for (int step = 0; step < 1'000; ++step) { // 30 s.
@@ -285,12 +288,13 @@
   CHECK(late * 20 <= world.outcomes.size());
 }
 
-TEST_CASE("load: demand moves to a model with one replica, which gets more")
+TEST_CASE("load: a model with one replica gets more replicas when demand moves to it")
 {
   FleetWorld world({ .runners = 6, .models = 18, .slots = 16 });
   for (int step = 0; step < 600; ++step) {
     world.Ask("m7");
-    world.Run(40ms); // 25 a second; each keeps a slot for 1.5 s, so one runner is too small.
+    // 25 requests a second, each for 1.5 s: too many for the 16 slots of one runner.
+    world.Run(40ms);
   }
   CHECK(world.Holding("m7") >= 3);
   world.Run(10s);
@@ -298,7 +302,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: random faults at every step break no promise")
+TEST_CASE("load: random faults never lead to orders that overload a runner")
 {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     INFO("seed ", seed);
@@ -333,7 +337,7 @@
   }
 }
 
-TEST_CASE("load: runners that join empty are filled with what is asked for, before callers wait")
+TEST_CASE("load: a restarted, empty runner is filled with requested models")
 {
   FleetWorld world({ .runners = 4, .models = 16, .storeLoadTime = 3s });
   std::uniform_int_distribution<int> model(0, 11);
@@ -356,7 +360,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: cold models are loaded as many at once as the weight store takes at full speed")
+TEST_CASE("load: concurrent loads adapt to the number that the weight store serves at full speed")
 {
   FleetWorld world({ .runners = 8, .models = 40, .storeLoadTime = 3s, .hasAllOnDisk = false });
   world.storeLoadsAtOnce = 1; // Each further load slows all of them.
@@ -375,7 +379,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: callers of a swapped model do not wait for old reports")
+TEST_CASE("load: requests for a model that is swapped in do not wait for outdated reports")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
   world.Ask("m11");
@@ -387,7 +391,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: a load that takes longer than stated is noticed by the first request")
+TEST_CASE("load: a load that takes longer than configured causes at most one refused request")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
   world.slowness = 1'500ms;
@@ -398,10 +402,12 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: demand that jumps to one model gets several replicas at once")
+TEST_CASE("load: a sudden demand for one model brings several replicas within seconds")
 {
+  // The dispatcher estimates 143 ms of runner time for each request, so 50 requests a second are
+  // the work of seven runners.
   FleetWorld world({ .runners = 8, .models = 24 });
-  for (int step = 0; step < 240; ++step) { // 40 a second: six runners' worth, after a quiet time.
+  for (int step = 0; step < 240; ++step) { // 50 requests a second, after an idle time.
     world.Ask("m5");
     world.Run(20ms);
     if (step == 120) {
@@ -412,14 +418,14 @@
   CheckSound(world);
 }
 
-TEST_CASE("an old report does not bring back an adapter that was unloaded at once")
+TEST_CASE("an outdated report does not restore an adapter that the runner unloaded at once")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
   world.runTime = 100ms;
   AskAdapters(world, 1, 4, 1s);
   std::uint64_t conflicts = 0;
   world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
-    // An entry makes the dispatcher ask for a report, which is older than this order.
+    // The entry makes the dispatcher request a report, which shows the state before this order.
     world.Announce(0);
     conflicts += aOrder.expectedOrderCount != world.runners[0].orderCount ? 1 : 0;
     return std::nullopt;
@@ -430,7 +436,7 @@
   CheckSound(world);
 }
 
-TEST_CASE("load: adapters asked for at many runners at once do not crowd the weight store")
+TEST_CASE("load: adapter requests at many runners do not overload the weight store")
 {
   FleetWorld world({ .runners = 12, .models = 36, .adapters = 40, .adaptersAtOnce = 2 });
   world.runTime = 200ms;
@@ -438,7 +444,7 @@
     const std::string model = "m" + std::to_string(step * 7 % 36);
     world.Ask(model, "a" + std::to_string(1 + step % 40));
     world.Ask(model, "a" + std::to_string(1 + (step + 20) % 40));
-    world.Run(40ms); // 50 adapters a second, as on the largest site.
+    world.Run(40ms); // 50 adapter requests a second, as at the largest site.
   }
   world.Run(5s);
   CheckSound(world);
--- a/tests/fleet/fleet_message_test.cpp
+++ b/tests/fleet/fleet_message_test.cpp
@@ -1,4 +1,5 @@
-/* Messages between daemons survive the way there and back; damaged ones are refused. */
+/* Encodes and decodes the messages between daemons and the lease row. Damaged messages are
+ * rejected. */
 #include "fleet/fleet_message.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +35,7 @@
   return { bytes.begin(), bytes.end() };
 }
 
-/* Returns the body of the kind asked for after the way there and back. */
+/* Encodes and decodes a message and returns its body, which must be of type Body. */
 template<typename Body>
 Body Back(FleetBody aBody)
 {
@@ -47,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("every kind of message survives the way there and back")
+TEST_CASE("every kind of message is unchanged after encoding and decoding")
 {
   const auto ask = Back<PlacementRequest>(kAsk);
   CHECK(ask.id == kAsk.id);
@@ -90,7 +91,7 @@
           .isCleared);
 }
 
-TEST_CASE("every cut of a message is refused, none throws")
+TEST_CASE("a message that is truncated at any length is rejected without an exception")
 {
   const std::string whole = Encode(kAsk);
   for (std::size_t length = 0; length < whole.size(); ++length) {
@@ -100,7 +101,7 @@
   CHECK_FALSE(DecodeLeaseRow("{}").has_value());
 }
 
-TEST_CASE("the row of the lease survives the way there and back")
+TEST_CASE("the lease row is unchanged after encoding and decoding")
 {
   const OrderLeaseRow lease{ .holder = DaemonId{ "d0" }, .address = "10.0.0.1:1", .renewals = 3 };
   CHECK(DecodeLeaseRow(EncodeLeaseRow(lease)) == lease);
--- a/tests/fleet/fleet_parts_test.cpp
+++ b/tests/fleet/fleet_parts_test.cpp
@@ -1,4 +1,5 @@
-/* The smaller decisions on the path of a request. */
+/* The policies on the path of a request: next step after an attempt, retry share, crash guard,
+ * endpoint health, choice of an endpoint, prompt cache estimate and route match. */
 #include "decision/fleet/attempt_policy.h"
 #include "decision/fleet/crash_guard.h"
 #include "decision/fleet/endpoint_health.h"
@@ -43,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("what follows an attempt: a table of all ends by kind of route")
+TEST_CASE("the next step after an attempt, by its result and the kind of route")
 {
   using enum AttemptEnd;
   using enum NextStep;
@@ -81,10 +82,10 @@
       with(idempotent, [](auto& s) { s.refusals = 4; }),
       kNotRun,
       kFail },
-    { "lost, once only", once, kLost, kFail },
-    { "failure, once only", once, kErrorAnswer, kForwardAnswer },
+    { "lost, non-idempotent", once, kLost, kFail },
+    { "error answer, non-idempotent", once, kErrorAnswer, kForwardAnswer },
     { "lost, idempotent", idempotent, kLost, kRetry },
-    { "failure, idempotent", idempotent, kErrorAnswer, kRetry },
+    { "error answer, idempotent", idempotent, kErrorAnswer, kRetry },
     { "lost, idempotent, no attempts left",
       with(idempotent, [](auto& s) { s.runs = 2; }),
       kLost,
@@ -93,10 +94,13 @@
       with(idempotent, [](auto& s) { s.timeLeft = 5ms; }),
       kLost,
       kFail },
-    { "lost, convicted", with(idempotent, [](auto& s) { s.isQuarantined = true; }), kLost, kFail },
-    { "cut midway, once only", once, kBrokenOff, kBreakOffAnswer },
-    { "cut midway, resumable", resumable, kBrokenOff, kRetry },
-    { "cut midway, resumable, no attempts left",
+    { "lost, quarantined",
+      with(idempotent, [](auto& s) { s.isQuarantined = true; }),
+      kLost,
+      kFail },
+    { "broken off, non-idempotent", once, kBrokenOff, kBreakOffAnswer },
+    { "broken off, resumable", resumable, kBrokenOff, kRetry },
+    { "broken off, resumable, no attempts left",
       with(resumable, [](auto& s) { s.runs = 2; }),
       kBrokenOff,
       kBreakOffAnswer },
@@ -107,7 +111,7 @@
   }
 }
 
-TEST_CASE("a refusal is only sent when nothing has run")
+TEST_CASE("a request is refused only if no attempt may have run")
 {
   for (std::uint32_t runs = 0; runs <= 3; ++runs) {
     for (std::uint32_t refusals = 0; refusals <= 6; ++refusals) {
@@ -133,7 +137,7 @@
   TimePoint now = kStart;
   std::vector<TimePoint> requests;
   std::vector<TimePoint> retries;
-  for (int step = 0; step < 6'000; ++step) { // 60 s, in which all requests want retries.
+  for (int step = 0; step < 6'000; ++step) { // 60 s with more retries wanted than allowed.
     now += 10ms;
     if (step % 4 == 0) {
       share.RecordRequest(now, kService);
@@ -155,7 +159,7 @@
   CHECK(retries.size() > 200);
 }
 
-TEST_CASE("a request is refused after it broke three runners, and an answer clears it")
+TEST_CASE("a request is quarantined after three crashes, and an answer ends the quarantine")
 {
   CrashGuard guard;
   const FingerprintId killer{ "k" };
@@ -170,7 +174,7 @@
   CHECK_FALSE(guard.IsQuarantined(kStart + 2s, killer));
 }
 
-TEST_CASE("an endpoint that fails four in ten is doubted, one that fails one in ten is not")
+TEST_CASE("an endpoint that fails 4 of 10 requests is avoided, one that fails 1 of 10 is not")
 {
   for (const int failures : { 1, 4 }) {
     EndpointHealth health;
@@ -182,12 +186,12 @@
                     step % 10 < failures ? EndpointOutcome::kFailed : EndpointOutcome::kSucceeded);
       doubted += health.IsAvoided(now) ? 1 : 0;
     }
-    INFO(failures, " in ten");
+    INFO(failures, " of 10");
     CHECK((doubted > 50) == (failures == 4));
   }
 }
 
-TEST_CASE("a doubted endpoint is tried again")
+TEST_CASE("an avoided endpoint gets requests again after a time")
 {
   EndpointHealth health;
   for (int failure = 0; failure < 10; ++failure) {
@@ -197,7 +201,7 @@
   CHECK_FALSE(health.IsAvoided(kStart + 5s));
 }
 
-TEST_CASE("entries that lapse while the store is away are gone two seconds after its return")
+TEST_CASE("an entry that expires during a store outage is kept for a grace period after the outage")
 {
   RunnerRegistry registry;
   registry.Apply(kStart, EntryOf("r1"));
@@ -209,7 +213,7 @@
   CHECK_FALSE(Choose(registry, kStart + 63s).has_value());
 }
 
-TEST_CASE("an entry that goes while the store is there is gone at once")
+TEST_CASE("an endpoint whose entry is removed without a store outage is gone at once")
 {
   RunnerRegistry registry;
   registry.Apply(kStart, EntryOf("r1"));
@@ -219,7 +223,7 @@
   CHECK(Choose(registry, kStart + 11s).has_value());
 }
 
-TEST_CASE("a draining endpoint gets no requests, and a restart is told from an update")
+TEST_CASE("a draining endpoint gets no requests, and a restart is distinguished from an update")
 {
   RunnerRegistry registry;
   CHECK(registry.Apply(kStart, EntryOf("r1")) == RunnerRegistry::Change::kJoined);
@@ -232,7 +236,7 @@
   CHECK(Choose(registry, kStart).has_value());
 }
 
-TEST_CASE("the less loaded endpoint is chosen, and a doubted one only when there is no other")
+TEST_CASE("the less loaded endpoint is chosen, and an avoided one only if there is no other")
 {
   RunnerRegistry registry;
   registry.Apply(kStart, EntryOf("r1"));
@@ -247,7 +251,7 @@
   CHECK(Choose(registry, kStart) == EndpointId{ "r2" });
 }
 
-TEST_CASE("kept parts count only behind all parts before them, for the same model")
+TEST_CASE("a cached prompt part counts only if all parts before it are cached for the same model")
 {
   PromptCache cache;
   cache.SetCapacity(1'000);
@@ -259,7 +263,7 @@
   CHECK(cache.CachedTokens(WorkOf("m0", { { 1, 100 } })) == 0);
 }
 
-TEST_CASE("the least recently used parts yield")
+TEST_CASE("the least recently used prompt parts are evicted")
 {
   PromptCache cache;
   cache.SetCapacity(250);
@@ -271,7 +275,7 @@
   CHECK(cache.CachedTokens(WorkOf("m0", { { 2, 100 } })) == 0);
 }
 
-TEST_CASE("the longest prefix of the host decides")
+TEST_CASE("the route with the longest matching prefix of the host is chosen")
 {
   FleetConfiguration configuration;
   configuration.routesByHost["h"] = { { .name = "long", .prefix = "/a/b/" },
--- a/tests/fleet/fleet_world.cpp
+++ b/tests/fleet/fleet_world.cpp
@@ -1,4 +1,4 @@
-/* A fleet in given time: runners that carry out orders and requests. */
+/* A fleet in simulated time: runners that carry out orders and run requests. */
 #include "tests/fleet/fleet_world.h"
 
 #include "core/overloaded.h"
@@ -14,9 +14,9 @@
 constexpr std::int64_t kAdapterWeights = 60;
 constexpr Duration kStep = 10ms;
 constexpr Duration kAdapterTime = 15ms;
-constexpr std::size_t kArrivingLimit = 4; ///< To one runner.
+constexpr std::size_t kArrivingLimit = 4; ///< Adapters that one runner may load at the same time.
 constexpr Duration kRoundTrip = 3ms;
-constexpr Duration kSpacing = 3'200ms;
+constexpr Duration kSpacing = 3'200ms; ///< Time after which a new dispatcher may send orders.
 
 } // namespace
 
@@ -137,7 +137,8 @@
   return number;
 }
 
-/* Sends a question, as daemons do when a runner has refused or the dispatcher is another one. */
+/* Sends a placement request, for the first time or again, as daemons do after a runner refused it
+ * or when another daemon became the dispatcher. */
 void FleetWorld::AskAgain(std::uint64_t aNumber)
 {
   PlacementRequest ask = mAsks[aNumber];
@@ -199,7 +200,7 @@
   return OrderOutcome::kUnknown;
 }
 
-/* What a runner does with an order that reaches it. */
+/* Carries out an order at its runner and returns the runner's answer. */
 OrderOutcome FleetWorld::Take(const RunnerOrder& aOrder)
 {
   SimRunner& runner = Find(aOrder.runner);
@@ -208,7 +209,8 @@
   if (runner.order) {
     const bool isSame =
       runner.order->kind == aOrder.kind && runner.order->subject == aOrder.subject;
-    return isSame ? OrderOutcome::kAccepted : OrderOutcome::kConflict; // A repeat is not counted.
+    // A repeated order does not increase the order count.
+    return isSame ? OrderOutcome::kAccepted : OrderOutcome::kConflict;
   }
   if (aOrder.expectedOrderCount != runner.orderCount) {
     return OrderOutcome::kConflict;
@@ -233,7 +235,7 @@
     }
     runner.arriving.insert(aOrder.subject);
     if (runner.arriving.size() > kArrivingLimit) {
-      violations.push_back(runner.id + " has too many adapters on their way");
+      violations.push_back(runner.id + " loads too many adapters at once");
     }
     std::size_t arriving = 0;
     for (const SimRunner& other : runners) {
@@ -251,7 +253,7 @@
   }
   if (aOrder.kind == OrderKind::kLoad) {
     if (runner.models.size() >= options.placesPerRunner) {
-      violations.push_back(runner.id + " has no room for " + model.str());
+      violations.push_back(runner.id + " has no free memory for " + model.str());
     }
     const bool isFromStore = !runner.onDisk.contains(model);
     storeLoads += isFromStore ? 1 : 0;
@@ -284,7 +286,7 @@
                           }
                           SimRunner& runner = Find(granted->runner);
                           if (!runner.models.contains(ModelId{ outcome.model })) {
-                            ++refusedByRunner; // The daemon asks again.
+                            ++refusedByRunner; // The daemon sends the placement request again.
                             dispatcher.OnAssignmentReleased(
                               now, { .id = aReply.id, .end = AssignmentEnd::kRefused });
                             AskAgain(aReply.id.number);
--- a/tests/fleet/fleet_world.h
+++ b/tests/fleet/fleet_world.h
@@ -1,5 +1,6 @@
-/* A fleet in given time: runners that carry out orders and requests, and the dispatcher before
- * them. What a runner must never be ordered or given is noted as a violation. */
+/* A fleet in simulated time: a dispatcher, and runners that carry out its orders and run requests.
+ * An accepted order that exceeds a runner's memory, adapter slots or concurrent adapter loads is
+ * recorded as a violation. */
 #ifndef RHUBARBTRAIL_TESTS_FLEET_FLEET_WORLD_H
 #define RHUBARBTRAIL_TESTS_FLEET_FLEET_WORLD_H
 
@@ -17,20 +18,21 @@
 struct WorldOptions
 {
   std::uint32_t runners = 3;
-  std::uint32_t models = 9; ///< Named m0, m1, ...
-  std::uint32_t placesPerRunner = 3;
-  std::uint32_t adapters = 0; ///< Of each model; named a1, a2, ...
-  std::uint32_t adapterSlots = 8;
-  std::size_t adaptersAtOnce = 8; ///< That the store brings at full speed; more share it.
-  std::uint32_t slots = 64;
+  std::uint32_t models = 9;          ///< Named m0, m1, ...
+  std::uint32_t placesPerRunner = 3; ///< Models that fit into the weight memory of a runner.
+  std::uint32_t adapters = 0;        ///< Adapters of each model, named a1, a2, ...
+  std::uint32_t adapterSlots = 8;    ///< Adapters that a runner can hold or load.
+  /* Adapter loads that the store serves at full speed. More loads slow each other down. */
+  std::size_t adaptersAtOnce = 8;
+  std::uint32_t slots = 64; ///< Requests that a runner can run at the same time.
   Duration storeLoadTime = 6s;
   Duration diskLoadTime = 1s;
-  Duration reportLag = 100ms;
+  Duration reportLag = 100ms; ///< Age of the state that a runner's report shows.
   bool hasAllOnDisk = true;
   std::uint32_t seed = 1;
 };
 
-/* A runner as it really is. */
+/* The actual state of a runner. The dispatcher only knows it from entries and reports. */
 struct SimRunner
 {
   struct Order
@@ -39,7 +41,7 @@
     ModelRef subject;
     TimePoint doneAt{};
     bool isFromStore = false;
-    double left = 0.0; ///< Part of a load from the store that is still to come.
+    double left = 0.0; ///< Remaining fraction of a load from the store, from 1 to 0.
   };
   struct Run
   {
@@ -51,21 +53,21 @@
   std::int64_t startedAtMs = 1;
   std::uint64_t orderCount = 0;
   std::map<ModelId, std::set<AdapterId>> models;
-  std::set<ModelRef> arriving; ///< Adapters on their way.
-  std::set<ModelRef> leaving;  ///< Adapters that go when no request uses them.
+  std::set<ModelRef> arriving; ///< Adapters that are being loaded.
+  std::set<ModelRef> leaving;  ///< Adapters to unload when no request uses them any more.
   std::set<ModelId> onDisk;
   std::optional<Order> order;
-  std::map<std::uint64_t, Run> runs;                      ///< By question.
-  std::deque<std::pair<TimePoint, RunnerReport>> history; ///< For reports that lag.
+  std::map<std::uint64_t, Run> runs; ///< By the number of the placement request.
+  std::deque<std::pair<TimePoint, RunnerReport>> history; ///< Recent states, for reports that lag.
 };
 
-/* How a request ended. */
+/* The state of a placement request. */
 struct SimOutcome
 {
   std::string model;
   TimePoint askedAt{};
   std::optional<TimePoint> startedAt;
-  bool isRefused = false;
+  bool isRefused = false; ///< The dispatcher refused the request, or Withdraw() withdrew it.
 };
 
 class FleetWorld
@@ -73,33 +75,36 @@
 public:
   explicit FleetWorld(WorldOptions aOptions);
 
-  /* Asks for a model, or one of its adapters, and returns the question's number. */
+  /* Sends a placement request for a model or one of its adapters and returns its number. */
   std::uint64_t Ask(const std::string& aModel,
                     const std::string& aAdapter = {},
                     std::uint32_t aPriority = 1,
                     Duration aTimeLeft = 20s);
-  /* Lets time pass in steps of 10 ms. */
+  /* Advances the time in steps of 10 ms. */
   void Run(Duration aTime);
-  /* Another daemon becomes the dispatcher: it knows what the entries say, and nothing else. It may
-   * give orders after the lease's spacing. */
+  /* Replaces the dispatcher by a new one, which knows the runners' entries and the requests that
+   * are still waiting. It may send orders after 3.2 s. */
   void TakeOver();
   void SetOrders(bool aMayOrder);
-  /* A runner starts anew; it holds nothing. */
+  /* Restarts a runner, which then holds nothing in memory. */
   void Restart(std::size_t aRunner);
-  /* Tells the dispatcher what the entry of a runner says now. */
+  /* Sends the current entry of a runner to the dispatcher. */
   void Announce(std::size_t aRunner);
+  /* Sends an entry that shows the runner as draining. */
   void Leave(std::size_t aRunner);
-  /* The caller gives up before it was answered. */
+  /* Withdraws a request that was not assigned yet. */
   void Withdraw(std::uint64_t aNumber);
-  /* A runner leaves an order unanswered and takes it after some time, if it still may. */
+  /* Returns that the answer to an order was lost, and delivers the order to the runner after some
+   * time, unless the runner has restarted by then. */
   OrderOutcome TakeLate(const RunnerOrder& aOrder, Duration aTime);
 
   std::size_t Served() const;
   std::size_t Refused() const;
   std::size_t Waiting() const;
   std::size_t StoreLoadsUnderWay() const;
-  /* Returns the longest wait of the requests that were given a place. */
+  /* Returns the longest time that an assigned request waited for its assignment. */
   Duration LongestWait() const;
+  /* Returns the number of runners that hold a model. */
   std::uint32_t Holding(const std::string& aModel) const;
 
   WorldOptions options;
@@ -108,14 +113,16 @@
   std::vector<SimRunner> runners;
   std::map<std::uint64_t, SimOutcome> outcomes;
   std::vector<std::string> violations;
-  std::uint64_t orders = 0;
-  std::uint64_t storeLoads = 0;
-  std::uint32_t storeLoadsAtOnce = 100; ///< At full speed; more share it.
-  Duration slowness{};                  ///< Of loads from disk, beyond the stated time.
-  std::uint64_t refusedByRunner = 0;    ///< Requests sent to a runner that did not hold the model.
-  Duration runTime = 1'500ms;           ///< Of each request.
+  std::uint64_t orders = 0;     ///< Orders that the dispatcher sent.
+  std::uint64_t storeLoads = 0; ///< Model loads from the store that were started.
+  /* Model loads that the store serves at full speed. More loads slow each other down. */
+  std::uint32_t storeLoadsAtOnce = 100;
+  Duration slowness{};               ///< Time that loads from disk take beyond the configured time.
+  std::uint64_t refusedByRunner = 0; ///< Requests assigned to a runner that did not hold the model.
+  Duration runTime = 1'500ms;        ///< Time for which each request runs.
   std::mt19937 random;
-  /* Decides what becomes of an order; nothing: the runner takes it at once. */
+  /* Returns the outcome of an order in place of the runner, or nothing if the order is to be
+   * delivered to the runner at once. */
   std::function<std::optional<OrderOutcome>(const RunnerOrder&)> interfere;
 
 private:
@@ -123,7 +130,7 @@
   {
     TimePoint at{};
     std::function<void()> action;
-    bool isAnswer = false; ///< To the dispatcher of that time.
+    bool isAnswer = false; ///< Is meant for the current dispatcher and dropped if it is replaced.
   };
 
   SimRunner& Find(const EndpointId& aRunner);
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -1,4 +1,4 @@
-/* The lease of the order giver: never two within the spacing, whatever fails. */
+/* The order lease under faults: orders of two different holders are at least the spacing apart. */
 #include "decision/fleet/order_lease.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 constexpr Duration kStep = 10ms;
 constexpr Duration kSpacing = 3s;
 
-/* The row of the lease in a store, and daemons that want it. */
+/* The lease row in a store, and daemons that compete for the lease. */
 class LeaseWorld
 {
 public:
@@ -31,11 +31,11 @@
   struct Daemon
   {
     std::string name;
-    int life = 0;
+    int life = 0; ///< Number of restarts of the process.
     OrderLease lease;
-    bool isDown = false;   ///< Its process does not run.
-    bool isFrozen = false; ///< Its process stands still.
-    bool isCut = false;    ///< The store turns it away.
+    bool isDown = false;   ///< The process does not run.
+    bool isFrozen = false; ///< The process is suspended.
+    bool isCut = false;    ///< All of its reads and writes fail.
   };
 
   static Daemon Make(std::size_t aNumber, int aLife)
@@ -60,6 +60,7 @@
     }
   }
 
+  /* Returns the number of running or suspended daemons that may send orders now. */
   std::size_t Holders() const
   {
     std::size_t count = 0;
@@ -74,7 +75,7 @@
   OrderLeaseRow row;
   RowVersion version;
   std::uint64_t nextVersion = 1;
-  double lostAnswers = 0.0;
+  double lostAnswers = 0.0; ///< Probability that the answer to a successful write is lost.
   std::mt19937 random{ 1 };
   std::string lastOrderer;
   Fence lastFence;
@@ -122,14 +123,15 @@
     aDaemon.lease.OnWritten(now, version);
   }
 
-  /* Judges an order that leaves now, as runners would that do not compare fences. */
+  /* Checks an order that the daemon sends now. Runners do not compare fencing tokens, so orders of
+   * two holders must be the spacing apart, besides having increasing tokens. */
   void NoteOrder(const Daemon& aDaemon)
   {
     if (!lastOrderer.empty() && lastOrderer != aDaemon.name && now - lastOrderAt < kSpacing) {
-      violations.push_back(aDaemon.name + " orders too soon after " + lastOrderer);
+      violations.push_back(aDaemon.name + " sends orders too soon after " + lastOrderer);
     }
     if (lastOrderer != aDaemon.name && aDaemon.lease.fence() <= lastFence) {
-      violations.push_back(aDaemon.name + " has no higher fence than " + lastOrderer);
+      violations.push_back(aDaemon.name + " has no higher fencing token than " + lastOrderer);
     }
     lastOrderer = aDaemon.name;
     lastOrderAt = now;
@@ -139,7 +141,7 @@
 
 } // namespace
 
-TEST_CASE("the first daemon gets the lease at once, and only one does")
+TEST_CASE("exactly one daemon gets a new lease, within a second")
 {
   LeaseWorld world(3);
   world.Run(1s);
@@ -147,7 +149,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("a dead holder is replaced, and not before the spacing has passed")
+TEST_CASE("a holder whose process has ended is replaced, but not before the spacing has passed")
 {
   LeaseWorld world(3);
   world.Run(2s);
@@ -162,7 +164,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("a holder that was frozen gives no order when it wakes")
+TEST_CASE("a holder that was suspended sends no order when it resumes")
 {
   LeaseWorld world(2);
   world.Run(2s);
@@ -177,7 +179,7 @@
   CHECK(world.Holders() == 1);
 }
 
-TEST_CASE("a host whose process starts anew goes on without waiting")
+TEST_CASE("the last holder may send orders within a second after its process restarts")
 {
   LeaseWorld world(1);
   world.Run(2s);
@@ -187,7 +189,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("a holder that stops hands the lease back, and the next one waits for the spacing only")
+TEST_CASE("a holder that shuts down releases the lease, and another daemon soon takes it")
 {
   LeaseWorld world(2);
   world.Run(2s);
@@ -201,7 +203,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("an outage of the store stops orders, and the holder goes on after it")
+TEST_CASE("an outage of the store stops orders, and the same holder continues after it")
 {
   LeaseWorld world(3);
   world.Run(2s);
@@ -220,7 +222,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("a holder that alone cannot reach the store is replaced")
+TEST_CASE("a holder that is the only daemon without access to the store is replaced")
 {
   LeaseWorld world(3);
   world.Run(2s);
@@ -234,7 +236,7 @@
   CHECK(world.violations.empty());
 }
 
-TEST_CASE("random deaths, freezes, cuts and lost answers never bring two order givers together")
+TEST_CASE("random process ends, suspensions, outages and lost answers never break the spacing")
 {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     INFO("seed ", seed);
