--- a/tests/fleet/dispatcher_test.cpp
+++ b/tests/fleet/dispatcher_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void CheckSound(const FleetWorld& aWorld)
+void CheckNoViolations(const FleetWorld& aWorld)
 {
   for (const std::string& violation : aWorld.violations) {
     INFO(violation);
@@ -18,10 +18,10 @@
 }
 
 /* Sends a request for each adapter of m0 from aFirst to aLast, with a pause after each. */
-void AskAdapters(FleetWorld& aWorld, int aFirst, int aLast, Duration aPause)
+void RequestAdapters(FleetWorld& aWorld, int aFirst, int aLast, Duration aPause)
 {
   for (int adapter = aFirst; adapter <= aLast; ++adapter) {
-    aWorld.Ask("m0", "a" + std::to_string(adapter));
+    aWorld.SendRequest("m0", "a" + std::to_string(adapter));
     aWorld.Run(aPause);
   }
 }
@@ -31,20 +31,20 @@
 TEST_CASE("a request for a held model starts at once")
 {
   FleetWorld world({});
-  world.Ask("m0");
+  world.SendRequest("m0");
   world.Run(20ms);
-  CHECK(world.Served() == 1);
-  CHECK(world.orders == 0);
+  CHECK(world.CountServed() == 1);
+  CHECK(world.sentOrders == 0);
 }
 
 TEST_CASE("a request for a model that no runner holds is served after one swap")
 {
   FleetWorld world({ .models = 12 });
-  world.Ask("m11");
+  world.SendRequest("m11");
   world.Run(2s);
-  CHECK(world.Served() == 1);
+  CHECK(world.CountServed() == 1);
   CHECK(world.LongestWait() < 1'500ms); // A load from disk takes a second.
-  CheckSound(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("one request and a hundred requests for a model that no runner holds cause one load")
@@ -52,10 +52,10 @@
   for (const int callers : { 1, 100 }) {
     FleetWorld world({ .models = 12, .slots = 128 });
     for (int caller = 0; caller < callers; ++caller) {
-      world.Ask("m11");
+      world.SendRequest("m11");
     }
     world.Run(1'500ms);
-    CHECK(world.Holding("m11") == 1);
+    CHECK(world.CountReplicas("m11") == 1);
   }
 }
 
@@ -64,48 +64,48 @@
   // Requests that the former dispatcher assigned still run on every replica. The new dispatcher
   // does not know of them.
   FleetWorld world({ .runners = 1, .models = 6 });
-  world.runTime = 3s;
+  world.requestDuration = 3s;
   for (const char* model : { "m0", "m1", "m2" }) {
-    world.Ask(model);
+    world.SendRequest(model);
   }
   world.Run(100ms);
-  world.TakeOver();
-  world.Ask("m5");
+  world.ReplaceDispatcher();
+  world.SendRequest("m5");
   world.Run(8s);
-  CheckSound(world);
-  CHECK(world.Holding("m5") == 1);
+  CheckNoViolations(world);
+  CHECK(world.CountReplicas("m5") == 1);
   CHECK(world.runners[0].models.size() == 3);
 }
 
 TEST_CASE("memory stays reserved for a load that a former dispatcher ordered")
 {
-  FleetWorld world({ .runners = 1, .models = 6, .storeLoadTime = 3s, .hasAllOnDisk = false });
-  world.Ask("m4");
+  FleetWorld world({ .runners = 1, .models = 6, .storeLoadTime = 3s, .areAllModelsOnDisk = false });
+  world.SendRequest("m4");
   world.Run(500ms); // A model was unloaded for m4, and the load of m4 is in progress.
   REQUIRE(world.runners[0].order.has_value());
-  world.TakeOver();
-  world.Ask("m5");
+  world.ReplaceDispatcher();
+  world.SendRequest("m5");
   world.Run(15s);
-  CheckSound(world);
-  CHECK(world.Holding("m5") == 1);
+  CheckNoViolations(world);
+  CHECK(world.CountReplicas("m5") == 1);
 }
 
 TEST_CASE("an outdated entry of a runner does not replace holdings that a report has confirmed")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 12 });
   const SimRunner before = world.runners[0];
-  AskAdapters(world, 1, 8, 100ms);
+  RequestAdapters(world, 1, 8, 100ms);
   // An entry from before the adapters were loaded arrives late.
   const SimRunner after = world.runners[0];
   world.runners[0].models = before.models;
-  world.Announce(0);
+  world.SendEntry(0);
   world.runners[0].models = after.models;
   world.Run(5s);
-  world.Ask("m0", "a9");
-  world.Ask("m0", "a10");
+  world.SendRequest("m0", "a9");
+  world.SendRequest("m0", "a10");
   world.Run(2s);
-  CheckSound(world);
-  CHECK(world.Served() == 10);
+  CheckNoViolations(world);
+  CHECK(world.CountServed() == 10);
 }
 
 TEST_CASE("the runner's report shows whether an order without an answer was carried out")
@@ -113,7 +113,7 @@
   for (const bool isCarriedOut : { true, false }) {
     FleetWorld world({ .runners = 1, .models = 6 });
     bool isFirst = true;
-    world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
+    world.orderOverride = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
       if (!std::exchange(isFirst, false)) {
         return std::nullopt;
       }
@@ -123,10 +123,10 @@
       }
       return OrderOutcome::kUnknown;
     };
-    world.Ask("m5");
+    world.SendRequest("m5");
     world.Run(4s);
-    CHECK(world.Served() == 1);
-    CheckSound(world);
+    CHECK(world.CountServed() == 1);
+    CheckNoViolations(world);
   }
 }
 
@@ -137,24 +137,24 @@
   // the count that the unload was carried out.
   FleetWorld world({ .runners = 1, .models = 6, .adapters = 4 });
   int number = 0;
-  world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
+  world.orderOverride = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
     switch (++number) {
       case 1:
-        return world.TakeLate(aOrder, 800ms);
+        return world.DeliverOrderLate(aOrder, 800ms);
       case 2:
-        return world.TakeLate(aOrder, 5s);
+        return world.DeliverOrderLate(aOrder, 5s);
       default:
         return std::nullopt;
     }
   };
-  const std::uint64_t first = world.Ask("m0", "a1");
+  const std::uint64_t first = world.SendRequest("m0", "a1");
   world.Run(50ms);
   world.Withdraw(first);
   world.Run(600ms);
-  world.Ask("m5");
+  world.SendRequest("m5");
   world.Run(8s);
-  CheckSound(world);
-  CHECK(world.Served() == 1);
+  CheckNoViolations(world);
+  CHECK(world.CountServed() == 1);
   CHECK(world.LongestWait() < 4s);
 }
 
@@ -167,25 +167,25 @@
     std::uniform_int_distribution<int> dice(0, 99);
     std::uniform_int_distribution<int> model(0, 13);
     std::uniform_int_distribution<int> late(10, 4'000);
-    world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
-      return dice(world.random) < 40 ? std::optional{ world.TakeLate(
+    world.orderOverride = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
+      return dice(world.random) < 40 ? std::optional{ world.DeliverOrderLate(
                                          aOrder, std::chrono::milliseconds(late(world.random))) }
                                      : std::nullopt;
     };
     for (int step = 0; step < 300; ++step) {
       const int chance = dice(world.random);
-      const std::uint64_t asked =
-        world.Ask("m" + std::to_string(model(world.random)),
-                  chance < 60 ? "a" + std::to_string(1 + chance % 8) : "");
+      const std::uint64_t request =
+        world.SendRequest("m" + std::to_string(model(world.random)),
+                          chance < 60 ? "a" + std::to_string(1 + chance % 8) : "");
       if (chance == 99) {
-        world.TakeOver();
+        world.ReplaceDispatcher();
       }
       world.Run(80ms);
-      if (chance % 3 == 0 && !world.outcomes[asked].startedAt) {
-        world.Withdraw(asked);
+      if (chance % 3 == 0 && !world.outcomes[request].startedAt) {
+        world.Withdraw(request);
       }
     }
-    CheckSound(world);
+    CheckNoViolations(world);
   }
 }
 
@@ -193,21 +193,21 @@
 {
   FleetWorld world({ .runners = 1, .models = 3 });
   world.Restart(0);
-  world.Announce(0);
+  world.SendEntry(0);
   world.Run(300ms);
-  world.Ask("m1");
+  world.SendRequest("m1");
   world.Run(3s);
-  CHECK(world.Served() == 1);
-  CheckSound(world);
+  CHECK(world.CountServed() == 1);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("a draining runner gets neither requests nor orders")
 {
   FleetWorld world({ .runners = 2, .models = 6 });
-  world.Leave(0);
-  world.Ask("m0");
+  world.Drain(0);
+  world.SendRequest("m0");
   world.Run(3s);
-  CHECK(world.Served() == 1);
+  CHECK(world.CountServed() == 1);
   CHECK(world.runners[0].orderCount == 0);
   CHECK(world.runners[1].models.contains(ModelId{ "m0" }));
 }
@@ -215,47 +215,47 @@
 TEST_CASE("without order permission, requests for held models are served and others are refused")
 {
   FleetWorld world({ .models = 12 });
-  world.SetOrders(false);
-  world.Ask("m0");
-  const auto cold = world.Ask("m11");
+  world.SetOrderPermission(false);
+  world.SendRequest("m0");
+  const auto cold = world.SendRequest("m11");
   world.Run(8s);
-  CHECK(world.Served() == 1);
+  CHECK(world.CountServed() == 1);
   CHECK(world.outcomes[cold].isRefused);
-  CHECK(world.orders == 0);
+  CHECK(world.sentOrders == 0);
 }
 
 TEST_CASE("more adapters than slots are loaded in turn, never more than the slots at once")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 20, .adapterSlots = 4 });
-  world.runTime = 200ms;
-  AskAdapters(world, 1, 20, 150ms);
+  world.requestDuration = 200ms;
+  RequestAdapters(world, 1, 20, 150ms);
   world.Run(3s);
-  CHECK(world.Served() == 20);
-  CheckSound(world);
+  CHECK(world.CountServed() == 20);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("an adapter in use by requests unknown to the dispatcher keeps its slot")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
-  world.runTime = 6s;
-  AskAdapters(world, 1, 4, 100ms);
-  world.TakeOver();
+  world.requestDuration = 6s;
+  RequestAdapters(world, 1, 4, 100ms);
+  world.ReplaceDispatcher();
   world.Run(3'500ms); // Orders are allowed again, and the first four requests still run.
   for (int adapter = 5; adapter <= 8; ++adapter) {
-    world.Ask("m0", "a" + std::to_string(adapter));
+    world.SendRequest("m0", "a" + std::to_string(adapter));
   }
   world.Run(12s);
-  CheckSound(world);
-  CHECK(world.Served() == 8);
+  CheckNoViolations(world);
+  CHECK(world.CountServed() == 8);
 }
 
 TEST_CASE("the more urgent request is served first when a slot becomes free")
 {
   FleetWorld world({ .runners = 1, .models = 3, .slots = 1 });
-  world.Ask("m0");
+  world.SendRequest("m0");
   world.Run(50ms);
-  const auto later = world.Ask("m0", {}, 2);
-  const auto urgent = world.Ask("m0", {}, 0);
+  const auto later = world.SendRequest("m0", {}, 2);
+  const auto urgent = world.SendRequest("m0", {}, 0);
   world.Run(1'600ms);
   CHECK(world.outcomes[urgent].startedAt.has_value());
   CHECK_FALSE(world.outcomes[later].startedAt.has_value());
@@ -270,36 +270,36 @@
   std::uniform_int_distribution<int> rare(2, 46);
   for (int step = 0; step < 1'000; ++step) { // 30 s.
     if (step % 5 == 0) {
-      world.Ask("m" + std::to_string(step / 5 % 2));
+      world.SendRequest("m" + std::to_string(step / 5 % 2));
     }
     if (step % 9 == 0) {
-      world.Ask("m" + std::to_string(rare(world.random)));
+      world.SendRequest("m" + std::to_string(rare(world.random)));
     }
     world.Run(30ms);
   }
   world.Run(5s);
-  CheckSound(world);
-  CHECK(world.Waiting() == 0);
-  CHECK(world.Refused() == 0);
-  std::size_t late = 0;
+  CheckNoViolations(world);
+  CHECK(world.CountWaiting() == 0);
+  CHECK(world.CountRefused() == 0);
+  std::size_t lateRequests = 0;
   for (const auto& [number, outcome] : world.outcomes) {
-    late += outcome.startedAt && *outcome.startedAt - outcome.askedAt > 3s ? 1 : 0;
+    lateRequests += outcome.startedAt && *outcome.startedAt - outcome.requestedAt > 3s ? 1 : 0;
   }
-  CHECK(late * 20 <= world.outcomes.size());
+  CHECK(lateRequests * 20 <= world.outcomes.size());
 }
 
 TEST_CASE("load: a model with one replica gets more replicas when demand moves to it")
 {
   FleetWorld world({ .runners = 6, .models = 18, .slots = 16 });
   for (int step = 0; step < 600; ++step) {
-    world.Ask("m7");
+    world.SendRequest("m7");
     // 25 requests a second, each for 1.5 s: too many for the 16 slots of one runner.
     world.Run(40ms);
   }
-  CHECK(world.Holding("m7") >= 3);
+  CHECK(world.CountReplicas("m7") >= 3);
   world.Run(10s);
-  CHECK(world.Waiting() == 0);
-  CheckSound(world);
+  CHECK(world.CountWaiting() == 0);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: random faults never lead to orders that overload a runner")
@@ -311,29 +311,29 @@
     std::uniform_int_distribution<int> dice(0, 99);
     std::uniform_int_distribution<int> model(0, 19);
     std::uniform_int_distribution<std::size_t> runner(0, 3);
-    world.interfere = [&](const RunnerOrder&) -> std::optional<OrderOutcome> {
+    world.orderOverride = [&](const RunnerOrder&) -> std::optional<OrderOutcome> {
       return dice(world.random) < 10 ? std::optional{ OrderOutcome::kUnknown } : std::nullopt;
     };
     for (int step = 0; step < 400; ++step) {
       const std::string name = "m" + std::to_string(model(world.random));
       const int chance = dice(world.random);
-      world.Ask(name, chance < 20 ? "a" + std::to_string(1 + chance % 6) : "");
+      world.SendRequest(name, chance < 20 ? "a" + std::to_string(1 + chance % 6) : "");
       if (chance == 50) {
-        world.TakeOver();
+        world.ReplaceDispatcher();
       }
       if (chance == 51) {
-        const std::size_t victim = runner(world.random);
-        world.Restart(victim);
-        world.Announce(victim);
+        const std::size_t restartedRunner = runner(world.random);
+        world.Restart(restartedRunner);
+        world.SendEntry(restartedRunner);
       }
       if (chance == 52) {
-        world.SetOrders(false);
+        world.SetOrderPermission(false);
       } else if (chance >= 53 && chance < 60) {
-        world.SetOrders(true);
+        world.SetOrderPermission(true);
       }
       world.Run(60ms);
     }
-    CheckSound(world);
+    CheckNoViolations(world);
   }
 }
 
@@ -341,65 +341,66 @@
 {
   FleetWorld world({ .runners = 4, .models = 16, .storeLoadTime = 3s });
   std::uniform_int_distribution<int> model(0, 11);
-  const auto ask = [&](Duration aTime) {
+  const auto sendRandomRequests = [&](Duration aTime) {
     for (const TimePoint end = world.now + aTime; world.now < end;) {
-      world.Ask("m" + std::to_string(model(world.random)));
+      world.SendRequest("m" + std::to_string(model(world.random)));
       world.Run(200ms);
     }
   };
-  ask(4s);
+  sendRandomRequests(4s);
   for (const std::size_t replaced : { 0U, 1U }) {
     world.Restart(replaced);
     world.runners[replaced].onDisk.clear();
-    world.Announce(replaced);
-    ask(12s);
+    world.SendEntry(replaced);
+    sendRandomRequests(12s);
     CHECK(world.runners[replaced].models.size() == 3);
   }
   world.Run(5s);
-  CHECK(world.Waiting() == 0);
-  CheckSound(world);
+  CHECK(world.CountWaiting() == 0);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: concurrent loads adapt to the number that the weight store serves at full speed")
 {
-  FleetWorld world({ .runners = 8, .models = 40, .storeLoadTime = 3s, .hasAllOnDisk = false });
-  world.storeLoadsAtOnce = 1; // Each further load slows all of them.
-  std::size_t most = 0;
+  FleetWorld world(
+    { .runners = 8, .models = 40, .storeLoadTime = 3s, .areAllModelsOnDisk = false });
+  world.fullSpeedStoreLoads = 1; // Each further load slows all of them.
+  std::size_t maxStoreLoads = 0;
   for (int step = 0; step < 600; ++step) {
     if (step % 4 == 0) {
-      world.Ask("m" + std::to_string(24 + step / 4 % 16), {}, 1, 60s);
+      world.SendRequest("m" + std::to_string(24 + step / 4 % 16), {}, 1, 60s);
     }
     world.Run(100ms);
     if (step > 300) {
-      most = std::max(most, world.StoreLoadsUnderWay());
+      maxStoreLoads = std::max(maxStoreLoads, world.CountStoreLoads());
     }
   }
-  CHECK(most <= 2);
-  CHECK(world.storeLoads >= 10);
-  CheckSound(world);
+  CHECK(maxStoreLoads <= 2);
+  CHECK(world.startedStoreLoads >= 10);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: requests for a model that is swapped in do not wait for outdated reports")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
-  world.Ask("m11");
+  world.SendRequest("m11");
   world.Run(2s);
-  CHECK(world.Served() == 1);
+  CHECK(world.CountServed() == 1);
   CHECK(world.LongestWait() < 1'200ms); // A load takes a second, and the unload before it 60 ms.
-  CHECK(world.refusedByRunner == 0);
+  CHECK(world.runnerRefusals == 0);
   world.Run(2s);
-  CheckSound(world);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: a load that takes longer than configured causes at most one refused request")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
-  world.slowness = 1'500ms;
-  world.Ask("m11");
+  world.extraDiskLoadTime = 1'500ms;
+  world.SendRequest("m11");
   world.Run(6s);
-  CHECK(world.Served() == 1);
-  CHECK(world.refusedByRunner <= 1);
-  CheckSound(world);
+  CHECK(world.CountServed() == 1);
+  CHECK(world.runnerRefusals <= 1);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: a sudden demand for one model brings several replicas within seconds")
@@ -408,45 +409,45 @@
   // the work of seven runners.
   FleetWorld world({ .runners = 8, .models = 24 });
   for (int step = 0; step < 240; ++step) { // 50 requests a second, after an idle time.
-    world.Ask("m5");
+    world.SendRequest("m5");
     world.Run(20ms);
     if (step == 120) {
-      CHECK(world.Holding("m5") >= 4);
+      CHECK(world.CountReplicas("m5") >= 4);
     }
   }
-  CHECK(world.Holding("m5") >= 6);
-  CheckSound(world);
+  CHECK(world.CountReplicas("m5") >= 6);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("an outdated report does not restore an adapter that the runner unloaded at once")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
-  world.runTime = 100ms;
-  AskAdapters(world, 1, 4, 1s);
+  world.requestDuration = 100ms;
+  RequestAdapters(world, 1, 4, 1s);
   std::uint64_t conflicts = 0;
-  world.interfere = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
+  world.orderOverride = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
     // The entry makes the dispatcher request a report, which shows the state before this order.
-    world.Announce(0);
+    world.SendEntry(0);
     conflicts += aOrder.expectedOrderCount != world.runners[0].orderCount ? 1 : 0;
     return std::nullopt;
   };
-  AskAdapters(world, 5, 8, 1s);
+  RequestAdapters(world, 5, 8, 1s);
   CHECK(conflicts == 0);
-  CHECK(world.Served() == 8);
-  CheckSound(world);
+  CHECK(world.CountServed() == 8);
+  CheckNoViolations(world);
 }
 
 TEST_CASE("load: adapter requests at many runners do not overload the weight store")
 {
-  FleetWorld world({ .runners = 12, .models = 36, .adapters = 40, .adaptersAtOnce = 2 });
-  world.runTime = 200ms;
+  FleetWorld world({ .runners = 12, .models = 36, .adapters = 40, .fullSpeedAdapterLoads = 2 });
+  world.requestDuration = 200ms;
   for (int step = 0; step < 400; ++step) {
     const std::string model = "m" + std::to_string(step * 7 % 36);
-    world.Ask(model, "a" + std::to_string(1 + step % 40));
-    world.Ask(model, "a" + std::to_string(1 + (step + 20) % 40));
+    world.SendRequest(model, "a" + std::to_string(1 + step % 40));
+    world.SendRequest(model, "a" + std::to_string(1 + (step + 20) % 40));
     world.Run(40ms); // 50 adapter requests a second, as at the largest site.
   }
   world.Run(5s);
-  CheckSound(world);
-  CHECK(world.Waiting() == 0);
+  CheckNoViolations(world);
+  CHECK(world.CountWaiting() == 0);
 }
--- a/tests/fleet/fleet_message_test.cpp
+++ b/tests/fleet/fleet_message_test.cpp
@@ -12,21 +12,22 @@
 
 namespace {
 
-const PlacementRequest kAsk{ .id = { .daemon = DaemonId{ "d1" }, .number = 7 },
-                             .requestId = "r1",
-                             .route = "route",
-                             .service = ServiceId{ "s1" },
-                             .work = { .target = { .model = ModelId{ "m1" },
-                                                   .adapter = AdapterId{ "a1" } },
-                                       .promptTokens = 1'460,
-                                       .outputTokens = 80,
-                                       .parts = { { .id = 0xffff'ffff'ffff'ffffULL, .tokens = 800 },
-                                                  { .id = 2, .tokens = 410 } } },
-                             .priority = 2,
-                             .latencyObjective = 600ms,
-                             .timeLeft = 15s,
-                             .isResumable = true,
-                             .failedRunners = { EndpointId{ "e1" } } };
+const PlacementRequest kRequest{
+  .id = { .daemon = DaemonId{ "d1" }, .number = 7 },
+  .requestId = "r1",
+  .route = "route",
+  .service = ServiceId{ "s1" },
+  .work = { .target = { .model = ModelId{ "m1" }, .adapter = AdapterId{ "a1" } },
+            .promptTokens = 1'460,
+            .outputTokens = 80,
+            .parts = { { .id = 0xffff'ffff'ffff'ffffULL, .tokens = 800 },
+                       { .id = 2, .tokens = 410 } } },
+  .priority = 2,
+  .latencyObjective = 600ms,
+  .timeLeft = 15s,
+  .isResumable = true,
+  .failedRunners = { EndpointId{ "e1" } }
+};
 
 std::string Encode(FleetBody aBody)
 {
@@ -37,7 +38,7 @@
 
 /* Encodes and decodes a message and returns its body, which must be of type Body. */
 template<typename Body>
-Body Back(FleetBody aBody)
+Body EncodeAndDecode(FleetBody aBody)
 {
   const auto message = DecodeFleetMessage(Encode(std::move(aBody)));
   REQUIRE(message.has_value());
@@ -50,52 +51,54 @@
 
 TEST_CASE("every kind of message is unchanged after encoding and decoding")
 {
-  const auto ask = Back<PlacementRequest>(kAsk);
-  CHECK(ask.id == kAsk.id);
-  CHECK(ask.work.target == kAsk.work.target);
-  REQUIRE(ask.work.parts.size() == 2);
-  CHECK(ask.work.parts[0].id == kAsk.work.parts[0].id);
-  CHECK(ask.timeLeft == kAsk.timeLeft);
-  CHECK(ask.failedRunners == kAsk.failedRunners);
+  const auto request = EncodeAndDecode<PlacementRequest>(kRequest);
+  CHECK(request.id == kRequest.id);
+  CHECK(request.work.target == kRequest.work.target);
+  REQUIRE(request.work.parts.size() == 2);
+  CHECK(request.work.parts[0].id == kRequest.work.parts[0].id);
+  CHECK(request.timeLeft == kRequest.timeLeft);
+  CHECK(request.failedRunners == kRequest.failedRunners);
 
-  const auto released = Back<AssignmentReleased>(
-    AssignmentReleased{ .id = kAsk.id, .end = AssignmentEnd::kFailed, .timeToFirstEvent = 90ms });
+  const auto released = EncodeAndDecode<AssignmentReleased>(AssignmentReleased{
+    .id = kRequest.id, .end = AssignmentEnd::kFailed, .timeToFirstEvent = 90ms });
   CHECK(released.end == AssignmentEnd::kFailed);
   CHECK(released.timeToFirstEvent == 90ms);
 
-  CHECK(Back<AssignmentInUse>(AssignmentInUse{ .request = kAsk, .runner = EndpointId{ "e1" } })
+  CHECK(EncodeAndDecode<AssignmentInUse>(
+          AssignmentInUse{ .request = kRequest, .runner = EndpointId{ "e1" } })
           .runner == EndpointId{ "e1" });
-  const auto granted = Back<PlacementReply>(
-    PlacementReply{ .id = kAsk.id, .answer = RunnerAssigned{ EndpointId{ "e2" } } });
-  CHECK(std::get<RunnerAssigned>(granted.answer).runner == EndpointId{ "e2" });
-  const auto refused = Back<PlacementReply>(PlacementReply{
-    .id = kAsk.id,
+  const auto assigned = EncodeAndDecode<PlacementReply>(
+    PlacementReply{ .id = kRequest.id, .answer = RunnerAssigned{ EndpointId{ "e2" } } });
+  CHECK(std::get<RunnerAssigned>(assigned.answer).runner == EndpointId{ "e2" });
+  const auto refused = EncodeAndDecode<PlacementReply>(PlacementReply{
+    .id = kRequest.id,
     .answer = PlacementRefused{ .code = ResultCode::kDeadlineUnreachable, .retryAfter = 1500ms } });
   CHECK(std::get<PlacementRefused>(refused.answer).retryAfter == 1500ms);
-  const auto unknown =
-    Back<PlacementReply>(PlacementReply{ .id = kAsk.id, .answer = PlacementUndecided{} });
-  CHECK(std::holds_alternative<PlacementUndecided>(unknown.answer));
+  const auto undecided = EncodeAndDecode<PlacementReply>(
+    PlacementReply{ .id = kRequest.id, .answer = PlacementUndecided{} });
+  CHECK(std::holds_alternative<PlacementUndecided>(undecided.answer));
 
   const OrderLeaseRow lease{ .holder = DaemonId{ "d0" },
                              .incarnation = IncarnationId{ "i0" },
                              .address = "10.0.0.1:1",
                              .isOrderWaitOver = true,
                              .renewals = 9 };
-  const auto heartbeat = Back<HolderHeartbeatMessage>(HolderHeartbeatMessage{
+  const auto heartbeat = EncodeAndDecode<HolderHeartbeatMessage>(HolderHeartbeatMessage{
     .lease = lease, .version = { 12 }, .state = HolderState::kStalled, .daemons = 8 });
   CHECK(heartbeat.lease == lease);
   CHECK(heartbeat.state == HolderState::kStalled);
-  CHECK(Back<HelloMessage>(HelloMessage{ .zone = ZoneId{ "a" }, .address = "x:1" }).address ==
-        "x:1");
-  CHECK(Back<SuspectMessage>(SuspectMessage{ .request = FingerprintId{ "f" }, .isCleared = true })
+  CHECK(EncodeAndDecode<HelloMessage>(HelloMessage{ .zone = ZoneId{ "a" }, .address = "x:1" })
+          .address == "x:1");
+  CHECK(EncodeAndDecode<SuspectMessage>(
+          SuspectMessage{ .request = FingerprintId{ "f" }, .isCleared = true })
           .isCleared);
 }
 
 TEST_CASE("a message that is truncated at any length is rejected without an exception")
 {
-  const std::string whole = Encode(kAsk);
-  for (std::size_t length = 0; length < whole.size(); ++length) {
-    CHECK_FALSE(DecodeFleetMessage(whole.substr(0, length)).has_value());
+  const std::string encoded = Encode(kRequest);
+  for (std::size_t length = 0; length < encoded.size(); ++length) {
+    CHECK_FALSE(DecodeFleetMessage(encoded.substr(0, length)).has_value());
   }
   CHECK_FALSE(DecodeFleetMessage("nonsense").has_value());
   CHECK_FALSE(DecodeLeaseRow("{}").has_value());
--- a/tests/fleet/fleet_parts_test.cpp
+++ b/tests/fleet/fleet_parts_test.cpp
@@ -55,7 +55,7 @@
     AttemptEnd end;
     NextStep step;
   };
-  const AttemptState once{ .runs = 1, .maxAttempts = 2, .timeLeft = 1s };
+  const AttemptState nonIdempotent{ .runs = 1, .maxAttempts = 2, .timeLeft = 1s };
   const AttemptState idempotent{
     .runs = 1, .maxAttempts = 2, .kind = RouteKind::kIdempotent, .timeLeft = 1s
   };
@@ -67,11 +67,11 @@
     return aState;
   };
   const std::vector<Case> cases{
-    { "answered", once, kAnswered, kForwardAnswer },
-    { "not sent, first time", with(once, [](auto& s) { s.runs = 0; }), kNotSent, kRetry },
-    { "not run, first time", with(once, [](auto& s) { s.runs = 0; }), kNotRun, kRetry },
+    { "answered", nonIdempotent, kAnswered, kForwardAnswer },
+    { "not sent, first time", with(nonIdempotent, [](auto& s) { s.runs = 0; }), kNotSent, kRetry },
+    { "not run, first time", with(nonIdempotent, [](auto& s) { s.runs = 0; }), kNotRun, kRetry },
     { "not run, many times",
-      with(once,
+      with(nonIdempotent,
            [](auto& s) {
              s.runs = 0;
              s.refusals = 4;
@@ -82,8 +82,8 @@
       with(idempotent, [](auto& s) { s.refusals = 4; }),
       kNotRun,
       kFail },
-    { "lost, non-idempotent", once, kLost, kFail },
-    { "error answer, non-idempotent", once, kErrorAnswer, kForwardAnswer },
+    { "lost, non-idempotent", nonIdempotent, kLost, kFail },
+    { "error answer, non-idempotent", nonIdempotent, kErrorAnswer, kForwardAnswer },
     { "lost, idempotent", idempotent, kLost, kRetry },
     { "error answer, idempotent", idempotent, kErrorAnswer, kRetry },
     { "lost, idempotent, no attempts left",
@@ -98,7 +98,7 @@
       with(idempotent, [](auto& s) { s.isQuarantined = true; }),
       kLost,
       kFail },
-    { "broken off, non-idempotent", once, kBrokenOff, kBreakOffAnswer },
+    { "broken off, non-idempotent", nonIdempotent, kBrokenOff, kBreakOffAnswer },
     { "broken off, resumable", resumable, kBrokenOff, kRetry },
     { "broken off, resumable, no attempts left",
       with(resumable, [](auto& s) { s.runs = 2; }),
@@ -162,16 +162,16 @@
 TEST_CASE("a request is quarantined after three crashes, and an answer ends the quarantine")
 {
   CrashGuard guard;
-  const FingerprintId killer{ "k" };
-  guard.RecordCrash(kStart, killer);
-  guard.RecordCrash(kStart + 1s, killer);
-  CHECK_FALSE(guard.IsQuarantined(kStart + 1s, killer));
-  guard.RecordCrash(kStart + 2s, killer);
-  CHECK(guard.IsQuarantined(kStart + 2s, killer));
+  const FingerprintId suspect{ "k" };
+  guard.RecordCrash(kStart, suspect);
+  guard.RecordCrash(kStart + 1s, suspect);
+  CHECK_FALSE(guard.IsQuarantined(kStart + 1s, suspect));
+  guard.RecordCrash(kStart + 2s, suspect);
+  CHECK(guard.IsQuarantined(kStart + 2s, suspect));
   CHECK_FALSE(guard.IsQuarantined(kStart + 2s, FingerprintId{ "other" }));
-  CHECK_FALSE(guard.IsQuarantined(kStart + 2s + 2 * kCrashCountLifetime, killer));
-  guard.RecordAnswer(killer);
-  CHECK_FALSE(guard.IsQuarantined(kStart + 2s, killer));
+  CHECK_FALSE(guard.IsQuarantined(kStart + 2s + 2 * kCrashCountLifetime, suspect));
+  guard.RecordAnswer(suspect);
+  CHECK_FALSE(guard.IsQuarantined(kStart + 2s, suspect));
 }
 
 TEST_CASE("an endpoint that fails 4 of 10 requests is avoided, one that fails 1 of 10 is not")
@@ -179,15 +179,15 @@
   for (const int failures : { 1, 4 }) {
     EndpointHealth health;
     TimePoint now = kStart;
-    int doubted = 0;
+    int avoidedSteps = 0;
     for (int step = 0; step < 500; ++step) {
       now += 50ms;
       health.Record(now,
                     step % 10 < failures ? EndpointOutcome::kFailed : EndpointOutcome::kSucceeded);
-      doubted += health.IsAvoided(now) ? 1 : 0;
+      avoidedSteps += health.IsAvoided(now) ? 1 : 0;
     }
     INFO(failures, " of 10");
-    CHECK((doubted > 50) == (failures == 4));
+    CHECK((avoidedSteps > 50) == (failures == 4));
   }
 }
 
@@ -230,9 +230,9 @@
   CHECK(registry.Apply(kStart, EntryOf("r1", RunnerState::kDraining)) ==
         RunnerRegistry::Change::kLeaving);
   CHECK_FALSE(Choose(registry, kStart).has_value());
-  RunnerEntry reborn = EntryOf("r1");
-  reborn.startedAtMs = 5;
-  CHECK(registry.Apply(kStart, reborn) == RunnerRegistry::Change::kRestarted);
+  RunnerEntry restarted = EntryOf("r1");
+  restarted.startedAtMs = 5;
+  CHECK(registry.Apply(kStart, restarted) == RunnerRegistry::Change::kRestarted);
   CHECK(Choose(registry, kStart).has_value());
 }
 
--- a/tests/fleet/fleet_world.cpp
+++ b/tests/fleet/fleet_world.cpp
@@ -10,13 +10,14 @@
 namespace {
 
 const ServiceId kService{ "llm" };
-constexpr std::int64_t kWeights = 70'000;
-constexpr std::int64_t kAdapterWeights = 60;
+constexpr std::int64_t kModelMb = 70'000;
+constexpr std::int64_t kAdapterMb = 60;
 constexpr Duration kStep = 10ms;
-constexpr Duration kAdapterTime = 15ms;
-constexpr std::size_t kArrivingLimit = 4; ///< Adapters that one runner may load at the same time.
+constexpr Duration kAdapterLoadDuration = 15ms;
+/* Adapters that one runner may load at the same time. */
+constexpr std::size_t kMaxLoadingAdapters = 4;
 constexpr Duration kRoundTrip = 3ms;
-constexpr Duration kSpacing = 3'200ms; ///< Time after which a new dispatcher may send orders.
+constexpr Duration kTakeoverWait = 3'200ms; ///< Time after which a new dispatcher may send orders.
 
 } // namespace
 
@@ -27,7 +28,7 @@
 {
   Engine engine{ .slots = options.slots,
                  .cacheTokens = 120'000,
-                 .weights = { kWeights * options.placesPerRunner + 10'000 },
+                 .weights = { kModelMb * options.modelsPerRunner + 10'000 },
                  .adapterSlots = options.adapterSlots,
                  .loadsPerSecond = 4.0,
                  .models = {} };
@@ -35,8 +36,8 @@
     const ModelId id{ "m" + std::to_string(number) };
     engine.models.emplace(id,
                           Model{ .id = id,
-                                 .weights = { kWeights },
-                                 .adapterWeights = { kAdapterWeights },
+                                 .weights = { kModelMb },
+                                 .adapterWeights = { kAdapterMb },
                                  .adapters = options.adapters,
                                  .storeLoadTime = options.storeLoadTime,
                                  .memoryLoadTime = options.diskLoadTime,
@@ -47,45 +48,45 @@
   std::uint32_t next = 0;
   for (std::uint32_t number = 0; number < options.runners; ++number) {
     SimRunner runner{ .id = "r" + std::to_string(number) };
-    for (std::uint32_t place = 0; place < options.placesPerRunner; ++place) {
+    for (std::uint32_t index = 0; index < options.modelsPerRunner; ++index) {
       runner.models[ModelId{ "m" + std::to_string(next++ % options.models) }];
     }
-    for (std::uint32_t model = 0; options.hasAllOnDisk && model < options.models; ++model) {
+    for (std::uint32_t model = 0; options.areAllModelsOnDisk && model < options.models; ++model) {
       runner.onDisk.insert(ModelId{ "m" + std::to_string(model) });
     }
     runners.push_back(std::move(runner));
   }
   dispatcher.SetConfiguration(mConfiguration);
-  SetOrders(true);
+  SetOrderPermission(true);
   for (std::size_t number = 0; number < runners.size(); ++number) {
-    Announce(number);
+    SendEntry(number);
   }
   Run(500ms);
 }
 
-void FleetWorld::SetOrders(bool aMayOrder)
+void FleetWorld::SetOrderPermission(bool aMayOrder)
 {
   dispatcher.SetOrderPermission({ .mayOrder = aMayOrder, .holder = "d0", .fence = { mFence } });
 }
 
-void FleetWorld::TakeOver()
+void FleetWorld::ReplaceDispatcher()
 {
   dispatcher = Dispatcher{};
   dispatcher.SetConfiguration(mConfiguration);
   ++mFence;
-  SetOrders(false);
-  std::erase_if(mPending, [](const Pending& aItem) { return aItem.isAnswer; });
-  Later(kSpacing, [this, fence = mFence] {
+  SetOrderPermission(false);
+  std::erase_if(mPending, [](const Pending& aItem) { return aItem.isForCurrentDispatcher; });
+  Schedule(kTakeoverWait, [this, fence = mFence] {
     if (fence == mFence) {
-      SetOrders(true);
+      SetOrderPermission(true);
     }
   });
   for (std::size_t number = 0; number < runners.size(); ++number) {
-    Announce(number);
+    SendEntry(number);
   }
   for (const auto& [number, outcome] : outcomes) {
     if (!outcome.startedAt && !outcome.isRefused) {
-      AskAgain(number);
+      SubmitRequest(number);
     }
   }
 }
@@ -96,54 +97,54 @@
   runner.startedAtMs += 1'000;
   runner.orderCount = 0;
   runner.models.clear();
-  runner.arriving.clear();
+  runner.loadingAdapters.clear();
   runner.order.reset();
-  runner.runs.clear();
-  runner.history.clear();
+  runner.runningRequests.clear();
+  runner.pastReports.clear();
 }
 
-void FleetWorld::Announce(std::size_t aRunner)
+void FleetWorld::SendEntry(std::size_t aRunner)
 {
   dispatcher.OnRunnerEntry(now, EntryOf(runners[aRunner]));
 }
 
-void FleetWorld::Leave(std::size_t aRunner)
+void FleetWorld::Drain(std::size_t aRunner)
 {
   RunnerEntry entry = EntryOf(runners[aRunner]);
   entry.state = RunnerState::kDraining;
   dispatcher.OnRunnerEntry(now, entry);
 }
 
-std::uint64_t FleetWorld::Ask(const std::string& aModel,
-                              const std::string& aAdapter,
-                              std::uint32_t aPriority,
-                              Duration aTimeLeft)
+std::uint64_t FleetWorld::SendRequest(const std::string& aModel,
+                                      const std::string& aAdapter,
+                                      std::uint32_t aPriority,
+                                      Duration aTimeLeft)
 {
-  const std::uint64_t number = mNextAsk++;
-  outcomes[number] = { .model = aModel, .askedAt = now };
-  mAsks[number] = { .id = { .daemon = DaemonId{ "d0" }, .number = number },
-                    .requestId = std::to_string(number),
-                    .route = "route",
-                    .service = kService,
-                    .work = { .target = { .model = ModelId{ aModel },
-                                          .adapter = AdapterId{ aAdapter } },
-                              .promptTokens = 1'000,
-                              .outputTokens = 170,
-                              .parts = { { .id = number, .tokens = 1'000 } } },
-                    .priority = aPriority,
-                    .latencyObjective = 3s,
-                    .timeLeft = aTimeLeft };
-  AskAgain(number);
+  const std::uint64_t number = mNextRequestNumber++;
+  outcomes[number] = { .model = aModel, .requestedAt = now };
+  mRequests[number] = { .id = { .daemon = DaemonId{ "d0" }, .number = number },
+                        .requestId = std::to_string(number),
+                        .route = "route",
+                        .service = kService,
+                        .work = { .target = { .model = ModelId{ aModel },
+                                              .adapter = AdapterId{ aAdapter } },
+                                  .promptTokens = 1'000,
+                                  .outputTokens = 170,
+                                  .parts = { { .id = number, .tokens = 1'000 } } },
+                        .priority = aPriority,
+                        .latencyObjective = 3s,
+                        .timeLeft = aTimeLeft };
+  SubmitRequest(number);
   return number;
 }
 
 /* Sends a placement request, for the first time or again, as daemons do after a runner refused it
  * or when another daemon became the dispatcher. */
-void FleetWorld::AskAgain(std::uint64_t aNumber)
+void FleetWorld::SubmitRequest(std::uint64_t aNumber)
 {
-  PlacementRequest ask = mAsks[aNumber];
-  ask.timeLeft -= now - outcomes[aNumber].askedAt;
-  dispatcher.OnPlacementRequest(now, ask, ZoneId{ "a" });
+  PlacementRequest request = mRequests[aNumber];
+  request.timeLeft -= now - outcomes[aNumber].requestedAt;
+  dispatcher.OnPlacementRequest(now, request, ZoneId{ "a" });
 }
 
 SimRunner& FleetWorld::Find(const EndpointId& aRunner)
@@ -158,7 +159,7 @@
                        .orderCount = aRunner.orderCount,
                        .startedAtMs = aRunner.startedAtMs };
   report.holdings.models = aRunner.models;
-  report.holdings.loadingAdapters = aRunner.arriving;
+  report.holdings.loadingAdapters = aRunner.loadingAdapters;
   report.holdings.onDisk = aRunner.onDisk;
   return report;
 }
@@ -174,11 +175,11 @@
            .holdings = ReportOf(aRunner).holdings };
 }
 
-bool FleetWorld::IsUsed(const SimRunner& aRunner, const ModelRef& aAdapter)
+bool FleetWorld::IsAdapterInUse(const SimRunner& aRunner, const ModelRef& aAdapter)
 {
-  return std::any_of(aRunner.runs.begin(), aRunner.runs.end(), [&](const auto& aRun) {
-    return aRun.second.model == aAdapter;
-  });
+  return std::any_of(aRunner.runningRequests.begin(),
+                     aRunner.runningRequests.end(),
+                     [&](const auto& aRun) { return aRun.second.model == aAdapter; });
 }
 
 void FleetWorld::Withdraw(std::uint64_t aNumber)
@@ -189,19 +190,19 @@
     { .id = { .daemon = DaemonId{ "d0" }, .number = aNumber }, .end = AssignmentEnd::kWithdrawn });
 }
 
-OrderOutcome FleetWorld::TakeLate(const RunnerOrder& aOrder, Duration aTime)
+OrderOutcome FleetWorld::DeliverOrderLate(const RunnerOrder& aOrder, Duration aTime)
 {
-  const std::int64_t life = Find(aOrder.runner).startedAtMs;
-  Later(aTime, [this, aOrder, life] {
-    if (Find(aOrder.runner).startedAtMs == life) {
-      Take(aOrder);
+  const std::int64_t startTimeMs = Find(aOrder.runner).startedAtMs;
+  Schedule(aTime, [this, aOrder, startTimeMs] {
+    if (Find(aOrder.runner).startedAtMs == startTimeMs) {
+      DeliverOrder(aOrder);
     }
   });
   return OrderOutcome::kUnknown;
 }
 
 /* Carries out an order at its runner and returns the runner's answer. */
-OrderOutcome FleetWorld::Take(const RunnerOrder& aOrder)
+OrderOutcome FleetWorld::DeliverOrder(const RunnerOrder& aOrder)
 {
   SimRunner& runner = Find(aOrder.runner);
   const ModelId& model = aOrder.subject.model;
@@ -219,50 +220,52 @@
   if (!isModel) {
     auto& adapters = runner.models[model];
     if (aOrder.kind == OrderKind::kUnload) {
-      if (IsUsed(runner, aOrder.subject)) {
-        runner.leaving.insert(aOrder.subject);
+      if (IsAdapterInUse(runner, aOrder.subject)) {
+        runner.adaptersToUnload.insert(aOrder.subject);
         return OrderOutcome::kAccepted;
       }
       adapters.erase(aOrder.subject.adapter);
       return OrderOutcome::kAlreadyDone;
     }
-    std::size_t held = runner.arriving.size() + 1;
+    std::size_t held = runner.loadingAdapters.size() + 1;
     for (const auto& [id, names] : runner.models) {
       held += names.size();
     }
     if (held > options.adapterSlots) {
       violations.push_back(runner.id + " has no slot for another adapter");
     }
-    runner.arriving.insert(aOrder.subject);
-    if (runner.arriving.size() > kArrivingLimit) {
+    runner.loadingAdapters.insert(aOrder.subject);
+    if (runner.loadingAdapters.size() > kMaxLoadingAdapters) {
       violations.push_back(runner.id + " loads too many adapters at once");
     }
-    std::size_t arriving = 0;
+    std::size_t loadingAtAllRunners = 0;
     for (const SimRunner& other : runners) {
-      arriving += other.arriving.size();
+      loadingAtAllRunners += other.loadingAdapters.size();
     }
-    const std::size_t sharing = std::max<std::size_t>(1, arriving / options.adaptersAtOnce);
-    Later(kAdapterTime * sharing, [this, order = aOrder] {
+    const std::size_t sharing =
+      std::max<std::size_t>(1, loadingAtAllRunners / options.fullSpeedAdapterLoads);
+    Schedule(kAdapterLoadDuration * sharing, [this, order = aOrder] {
       SimRunner& target = Find(order.runner);
       const auto held = target.models.find(order.subject.model);
-      if (target.arriving.erase(order.subject) > 0 && held != target.models.end()) {
+      if (target.loadingAdapters.erase(order.subject) > 0 && held != target.models.end()) {
         held->second.insert(order.subject.adapter);
       }
     });
     return OrderOutcome::kAccepted;
   }
   if (aOrder.kind == OrderKind::kLoad) {
-    if (runner.models.size() >= options.placesPerRunner) {
+    if (runner.models.size() >= options.modelsPerRunner) {
       violations.push_back(runner.id + " has no free memory for " + model.str());
     }
     const bool isFromStore = !runner.onDisk.contains(model);
-    storeLoads += isFromStore ? 1 : 0;
-    runner.order = SimRunner::Order{ .kind = OrderKind::kLoad,
-                                     .subject = aOrder.subject,
-                                     .doneAt = isFromStore ? TimePoint::max()
-                                                           : now + options.diskLoadTime + slowness,
-                                     .isFromStore = isFromStore,
-                                     .left = 1.0 };
+    startedStoreLoads += isFromStore ? 1 : 0;
+    runner.order =
+      SimRunner::Order{ .kind = OrderKind::kLoad,
+                        .subject = aOrder.subject,
+                        .doneAt = isFromStore ? TimePoint::max()
+                                              : now + options.diskLoadTime + extraDiskLoadTime,
+                        .isFromStore = isFromStore,
+                        .remainingFraction = 1.0 };
     return OrderOutcome::kAccepted;
   }
   runner.order =
@@ -270,56 +273,61 @@
   return OrderOutcome::kAccepted;
 }
 
-void FleetWorld::Later(Duration aTime, std::function<void()> aAction, bool aIsAnswer)
+void FleetWorld::Schedule(Duration aTime,
+                          std::function<void()> aAction,
+                          bool aIsForCurrentDispatcher)
 {
-  mPending.push_back({ .at = now + aTime, .action = std::move(aAction), .isAnswer = aIsAnswer });
+  mPending.push_back({ .at = now + aTime,
+                       .action = std::move(aAction),
+                       .isForCurrentDispatcher = aIsForCurrentDispatcher });
 }
 
-void FleetWorld::Carry(const DispatchAction& aAction)
+void FleetWorld::Execute(const DispatchAction& aAction)
 {
   std::visit(Overloaded{ [this](const PlacementReply& aReply) {
                           SimOutcome& outcome = outcomes[aReply.id.number];
-                          const auto* granted = std::get_if<RunnerAssigned>(&aReply.answer);
-                          if (granted == nullptr) {
+                          const auto* assigned = std::get_if<RunnerAssigned>(&aReply.answer);
+                          if (assigned == nullptr) {
                             outcome.isRefused = true;
                             return;
                           }
-                          SimRunner& runner = Find(granted->runner);
+                          SimRunner& runner = Find(assigned->runner);
                           if (!runner.models.contains(ModelId{ outcome.model })) {
-                            ++refusedByRunner; // The daemon sends the placement request again.
+                            ++runnerRefusals; // The daemon sends the placement request again.
                             dispatcher.OnAssignmentReleased(
                               now, { .id = aReply.id, .end = AssignmentEnd::kRefused });
-                            AskAgain(aReply.id.number);
+                            SubmitRequest(aReply.id.number);
                             return;
                           }
                           outcome.startedAt = now;
-                          runner.runs[aReply.id.number] = { .model =
-                                                              mAsks[aReply.id.number].work.target,
-                                                            .endsAt = now + runTime };
+                          runner.runningRequests[aReply.id.number] = {
+                            .model = mRequests[aReply.id.number].work.target,
+                            .endsAt = now + requestDuration
+                          };
                         },
                          [this](const RunnerOrder& aOrder) {
-                           ++orders;
-                           const auto forced = interfere ? interfere(aOrder) : std::nullopt;
-                           const OrderOutcome outcome = forced ? *forced : Take(aOrder);
-                           Later(
+                           ++sentOrders;
+                           const auto forced = orderOverride ? orderOverride(aOrder) : std::nullopt;
+                           const OrderOutcome outcome = forced ? *forced : DeliverOrder(aOrder);
+                           Schedule(
                              kRoundTrip,
                              [this, runner = aOrder.runner, outcome] {
                                dispatcher.OnOrderResult(now, runner, outcome);
                              },
                              true);
                          },
-                         [this](const ReportRequest& aWanted) {
-                           Later(
+                         [this](const ReportRequest& aRequest) {
+                           Schedule(
                              kRoundTrip,
-                             [this, aWanted] {
-                               const SimRunner& runner = Find(aWanted.runner);
+                             [this, aRequest] {
+                               const SimRunner& runner = Find(aRequest.runner);
                                RunnerReport report = ReportOf(runner);
-                               for (const auto& [at, old] : runner.history) {
+                               for (const auto& [at, old] : runner.pastReports) {
                                  if (at <= now - options.reportLag) {
                                    report = old;
                                  }
                                }
-                               dispatcher.OnReport(now, aWanted.runner, &report);
+                               dispatcher.OnReport(now, aRequest.runner, &report);
                              },
                              true);
                          },
@@ -331,31 +339,32 @@
 {
   now += kStep;
   const double sharing =
-    std::max(1.0, static_cast<double>(StoreLoadsUnderWay()) / storeLoadsAtOnce);
+    std::max(1.0, static_cast<double>(CountStoreLoads()) / fullSpeedStoreLoads);
   for (SimRunner& runner : runners) {
     if (runner.order && runner.order->isFromStore) {
-      runner.order->left -= static_cast<double>(kStep.count()) /
-                            static_cast<double>(options.storeLoadTime.count()) / sharing;
-      runner.order->doneAt = runner.order->left <= 0.0 ? now : TimePoint::max();
+      runner.order->remainingFraction -= static_cast<double>(kStep.count()) /
+                                         static_cast<double>(options.storeLoadTime.count()) /
+                                         sharing;
+      runner.order->doneAt = runner.order->remainingFraction <= 0.0 ? now : TimePoint::max();
     }
   }
   for (SimRunner& runner : runners) {
     std::vector<std::uint64_t> ended;
-    for (const auto& [number, run] : runner.runs) {
+    for (const auto& [number, run] : runner.runningRequests) {
       if (run.endsAt <= now) {
         ended.push_back(number);
       }
     }
     for (const std::uint64_t number : ended) {
-      runner.runs.erase(number);
+      runner.runningRequests.erase(number);
       dispatcher.OnAssignmentReleased(
         now,
         { .id = { .daemon = DaemonId{ "d0" }, .number = number }, .end = AssignmentEnd::kDone });
     }
     if (runner.order && runner.order->doneAt <= now) {
       const SimRunner::Order order = *runner.order;
-      const bool isRunning =
-        std::any_of(runner.runs.begin(), runner.runs.end(), [&](const auto& aRun) {
+      const bool isRunning = std::any_of(
+        runner.runningRequests.begin(), runner.runningRequests.end(), [&](const auto& aRun) {
           return aRun.second.model.model == order.subject.model;
         });
       if (order.kind == OrderKind::kLoad) {
@@ -367,8 +376,8 @@
         runner.order.reset();
       }
     }
-    std::erase_if(runner.leaving, [&](const ModelRef& aAdapter) {
-      if (IsUsed(runner, aAdapter)) {
+    std::erase_if(runner.adaptersToUnload, [&](const ModelRef& aAdapter) {
+      if (IsAdapterInUse(runner, aAdapter)) {
         return false;
       }
       if (const auto held = runner.models.find(aAdapter.model); held != runner.models.end()) {
@@ -376,9 +385,9 @@
       }
       return true;
     });
-    runner.history.emplace_back(now, ReportOf(runner));
-    if (runner.history.size() > 200) {
-      runner.history.pop_front();
+    runner.pastReports.emplace_back(now, ReportOf(runner));
+    if (runner.pastReports.size() > 200) {
+      runner.pastReports.pop_front();
     }
   }
   const auto pending = std::exchange(mPending, {});
@@ -390,7 +399,7 @@
     }
   }
   for (const DispatchAction& action : dispatcher.Tick(now)) {
-    Carry(action);
+    Execute(action);
   }
 }
 
@@ -401,7 +410,7 @@
   }
 }
 
-std::size_t FleetWorld::Served() const
+std::size_t FleetWorld::CountServed() const
 {
   return static_cast<std::size_t>(
     std::count_if(outcomes.begin(), outcomes.end(), [](const auto& aItem) {
@@ -409,13 +418,13 @@
     }));
 }
 
-std::size_t FleetWorld::Refused() const
+std::size_t FleetWorld::CountRefused() const
 {
   return static_cast<std::size_t>(std::count_if(
     outcomes.begin(), outcomes.end(), [](const auto& aItem) { return aItem.second.isRefused; }));
 }
 
-std::size_t FleetWorld::StoreLoadsUnderWay() const
+std::size_t FleetWorld::CountStoreLoads() const
 {
   return static_cast<std::size_t>(
     std::count_if(runners.begin(), runners.end(), [](const SimRunner& aRunner) {
@@ -423,9 +432,9 @@
     }));
 }
 
-std::size_t FleetWorld::Waiting() const
+std::size_t FleetWorld::CountWaiting() const
 {
-  return outcomes.size() - Served() - Refused();
+  return outcomes.size() - CountServed() - CountRefused();
 }
 
 Duration FleetWorld::LongestWait() const
@@ -433,13 +442,13 @@
   Duration longest{};
   for (const auto& [number, outcome] : outcomes) {
     if (outcome.startedAt) {
-      longest = std::max(longest, *outcome.startedAt - outcome.askedAt);
+      longest = std::max(longest, *outcome.startedAt - outcome.requestedAt);
     }
   }
   return longest;
 }
 
-std::uint32_t FleetWorld::Holding(const std::string& aModel) const
+std::uint32_t FleetWorld::CountReplicas(const std::string& aModel) const
 {
   return static_cast<std::uint32_t>(
     std::count_if(runners.begin(), runners.end(), [&](const SimRunner& aRunner) {
--- a/tests/fleet/fleet_world.h
+++ b/tests/fleet/fleet_world.h
@@ -19,16 +19,16 @@
 {
   std::uint32_t runners = 3;
   std::uint32_t models = 9;          ///< Named m0, m1, ...
-  std::uint32_t placesPerRunner = 3; ///< Models that fit into the weight memory of a runner.
+  std::uint32_t modelsPerRunner = 3; ///< Models that fit into the weight memory of a runner.
   std::uint32_t adapters = 0;        ///< Adapters of each model, named a1, a2, ...
   std::uint32_t adapterSlots = 8;    ///< Adapters that a runner can hold or load.
   /* Adapter loads that the store serves at full speed. More loads slow each other down. */
-  std::size_t adaptersAtOnce = 8;
+  std::size_t fullSpeedAdapterLoads = 8;
   std::uint32_t slots = 64; ///< Requests that a runner can run at the same time.
   Duration storeLoadTime = 6s;
   Duration diskLoadTime = 1s;
   Duration reportLag = 100ms; ///< Age of the state that a runner's report shows.
-  bool hasAllOnDisk = true;
+  bool areAllModelsOnDisk = true;
   std::uint32_t seed = 1;
 };
 
@@ -41,9 +41,9 @@
     ModelRef subject;
     TimePoint doneAt{};
     bool isFromStore = false;
-    double left = 0.0; ///< Remaining fraction of a load from the store, from 1 to 0.
+    double remainingFraction = 0.0; ///< Remaining fraction of a load from the store, from 1 to 0.
   };
-  struct Run
+  struct RunningRequest
   {
     ModelRef model;
     TimePoint endsAt{};
@@ -53,19 +53,21 @@
   std::int64_t startedAtMs = 1;
   std::uint64_t orderCount = 0;
   std::map<ModelId, std::set<AdapterId>> models;
-  std::set<ModelRef> arriving; ///< Adapters that are being loaded.
-  std::set<ModelRef> leaving;  ///< Adapters to unload when no request uses them any more.
+  std::set<ModelRef> loadingAdapters;  ///< Adapters that are being loaded.
+  std::set<ModelRef> adaptersToUnload; ///< Adapters to unload when no request uses them any more.
   std::set<ModelId> onDisk;
   std::optional<Order> order;
-  std::map<std::uint64_t, Run> runs; ///< By the number of the placement request.
-  std::deque<std::pair<TimePoint, RunnerReport>> history; ///< Recent states, for reports that lag.
+  std::map<std::uint64_t, RunningRequest>
+    runningRequests; ///< By the number of the placement request.
+  std::deque<std::pair<TimePoint, RunnerReport>>
+    pastReports; ///< Recent states, for reports that lag.
 };
 
 /* The state of a placement request. */
 struct SimOutcome
 {
   std::string model;
-  TimePoint askedAt{};
+  TimePoint requestedAt{};
   std::optional<TimePoint> startedAt;
   bool isRefused = false; ///< The dispatcher refused the request, or Withdraw() withdrew it.
 };
@@ -76,36 +78,36 @@
   explicit FleetWorld(WorldOptions aOptions);
 
   /* Sends a placement request for a model or one of its adapters and returns its number. */
-  std::uint64_t Ask(const std::string& aModel,
-                    const std::string& aAdapter = {},
-                    std::uint32_t aPriority = 1,
-                    Duration aTimeLeft = 20s);
+  std::uint64_t SendRequest(const std::string& aModel,
+                            const std::string& aAdapter = {},
+                            std::uint32_t aPriority = 1,
+                            Duration aTimeLeft = 20s);
   /* Advances the time in steps of 10 ms. */
   void Run(Duration aTime);
   /* Replaces the dispatcher by a new one, which knows the runners' entries and the requests that
    * are still waiting. It may send orders after 3.2 s. */
-  void TakeOver();
-  void SetOrders(bool aMayOrder);
+  void ReplaceDispatcher();
+  void SetOrderPermission(bool aMayOrder);
   /* Restarts a runner, which then holds nothing in memory. */
   void Restart(std::size_t aRunner);
   /* Sends the current entry of a runner to the dispatcher. */
-  void Announce(std::size_t aRunner);
+  void SendEntry(std::size_t aRunner);
   /* Sends an entry that shows the runner as draining. */
-  void Leave(std::size_t aRunner);
+  void Drain(std::size_t aRunner);
   /* Withdraws a request that was not assigned yet. */
   void Withdraw(std::uint64_t aNumber);
   /* Returns that the answer to an order was lost, and delivers the order to the runner after some
    * time, unless the runner has restarted by then. */
-  OrderOutcome TakeLate(const RunnerOrder& aOrder, Duration aTime);
+  OrderOutcome DeliverOrderLate(const RunnerOrder& aOrder, Duration aTime);
 
-  std::size_t Served() const;
-  std::size_t Refused() const;
-  std::size_t Waiting() const;
-  std::size_t StoreLoadsUnderWay() const;
+  std::size_t CountServed() const;
+  std::size_t CountRefused() const;
+  std::size_t CountWaiting() const;
+  std::size_t CountStoreLoads() const;
   /* Returns the longest time that an assigned request waited for its assignment. */
   Duration LongestWait() const;
   /* Returns the number of runners that hold a model. */
-  std::uint32_t Holding(const std::string& aModel) const;
+  std::uint32_t CountReplicas(const std::string& aModel) const;
 
   WorldOptions options;
   TimePoint now{ 1'000s };
@@ -113,40 +115,43 @@
   std::vector<SimRunner> runners;
   std::map<std::uint64_t, SimOutcome> outcomes;
   std::vector<std::string> violations;
-  std::uint64_t orders = 0;     ///< Orders that the dispatcher sent.
-  std::uint64_t storeLoads = 0; ///< Model loads from the store that were started.
+  std::uint64_t sentOrders = 0;        ///< Orders that the dispatcher sent.
+  std::uint64_t startedStoreLoads = 0; ///< Model loads from the store that were started.
   /* Model loads that the store serves at full speed. More loads slow each other down. */
-  std::uint32_t storeLoadsAtOnce = 100;
-  Duration slowness{};               ///< Time that loads from disk take beyond the configured time.
-  std::uint64_t refusedByRunner = 0; ///< Requests assigned to a runner that did not hold the model.
-  Duration runTime = 1'500ms;        ///< Time for which each request runs.
+  std::uint32_t fullSpeedStoreLoads = 100;
+  Duration extraDiskLoadTime{};     ///< Time that loads from disk take beyond the configured time.
+  std::uint64_t runnerRefusals = 0; ///< Requests assigned to a runner that did not hold the model.
+  Duration requestDuration = 1'500ms; ///< Time for which each request runs.
   std::mt19937 random;
   /* Returns the outcome of an order in place of the runner, or nothing if the order is to be
    * delivered to the runner at once. */
-  std::function<std::optional<OrderOutcome>(const RunnerOrder&)> interfere;
+  std::function<std::optional<OrderOutcome>(const RunnerOrder&)> orderOverride;
 
 private:
   struct Pending
   {
     TimePoint at{};
     std::function<void()> action;
-    bool isAnswer = false; ///< Is meant for the current dispatcher and dropped if it is replaced.
+    bool isForCurrentDispatcher =
+      false; ///< Is meant for the current dispatcher and dropped if it is replaced.
   };
 
   SimRunner& Find(const EndpointId& aRunner);
   RunnerEntry EntryOf(const SimRunner& aRunner) const;
   RunnerReport ReportOf(const SimRunner& aRunner) const;
-  OrderOutcome Take(const RunnerOrder& aOrder);
-  void AskAgain(std::uint64_t aNumber);
-  static bool IsUsed(const SimRunner& aRunner, const ModelRef& aAdapter);
+  OrderOutcome DeliverOrder(const RunnerOrder& aOrder);
+  void SubmitRequest(std::uint64_t aNumber);
+  static bool IsAdapterInUse(const SimRunner& aRunner, const ModelRef& aAdapter);
   void Step();
-  void Carry(const DispatchAction& aAction);
-  void Later(Duration aTime, std::function<void()> aAction, bool aIsAnswer = false);
+  void Execute(const DispatchAction& aAction);
+  void Schedule(Duration aTime,
+                std::function<void()> aAction,
+                bool aIsForCurrentDispatcher = false);
 
   std::shared_ptr<FleetConfiguration> mConfiguration;
   std::deque<Pending> mPending;
-  std::map<std::uint64_t, PlacementRequest> mAsks;
-  std::uint64_t mNextAsk = 1;
+  std::map<std::uint64_t, PlacementRequest> mRequests;
+  std::uint64_t mNextRequestNumber = 1;
   std::uint64_t mFence = 1;
 };
 
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -24,33 +24,36 @@
   explicit LeaseWorld(std::size_t aDaemons)
   {
     for (std::size_t number = 0; number < aDaemons; ++number) {
-      daemons.push_back(Make(number, 0));
+      daemons.push_back(MakeDaemon(number, 0));
     }
   }
 
   struct Daemon
   {
     std::string name;
-    int life = 0; ///< Number of restarts of the process.
+    int restarts = 0;
     OrderLease lease;
-    bool isDown = false;   ///< The process does not run.
-    bool isFrozen = false; ///< The process is suspended.
-    bool isCut = false;    ///< All of its reads and writes fail.
+    bool isDown = false;             ///< The process does not run.
+    bool isSuspended = false;        ///< The process is suspended.
+    bool isStoreUnreachable = false; ///< All of its reads and writes fail.
   };
 
-  static Daemon Make(std::size_t aNumber, int aLife)
+  static Daemon MakeDaemon(std::size_t aNumber, int aRestarts)
   {
     const std::string name = "d" + std::to_string(aNumber);
     return { .name = name,
-             .life = aLife,
+             .restarts = aRestarts,
              .lease =
                OrderLease({ .self = DaemonId{ name },
-                            .incarnation = IncarnationId{ name + "." + std::to_string(aLife) },
+                            .incarnation = IncarnationId{ name + "." + std::to_string(aRestarts) },
                             .address = "10.0.0.1:1",
                             .spacing = kSpacing }) };
   }
 
-  void Restart(std::size_t aNumber) { daemons[aNumber] = Make(aNumber, daemons[aNumber].life + 1); }
+  void Restart(std::size_t aNumber)
+  {
+    daemons[aNumber] = MakeDaemon(aNumber, daemons[aNumber].restarts + 1);
+  }
 
   void Run(Duration aTime)
   {
@@ -61,7 +64,7 @@
   }
 
   /* Returns the number of running or suspended daemons that may send orders now. */
-  std::size_t Holders() const
+  std::size_t CountDaemonsThatMayOrder() const
   {
     std::size_t count = 0;
     for (const Daemon& daemon : daemons) {
@@ -75,9 +78,10 @@
   OrderLeaseRow row;
   RowVersion version;
   std::uint64_t nextVersion = 1;
-  double lostAnswers = 0.0; ///< Probability that the answer to a successful write is lost.
+  double lostAnswerProbability =
+    0.0; ///< Probability that the answer to a successful write is lost.
   std::mt19937 random{ 1 };
-  std::string lastOrderer;
+  std::string lastSender;
   Fence lastFence;
   TimePoint lastOrderAt{};
   std::vector<std::string> violations;
@@ -86,22 +90,22 @@
   void Step()
   {
     for (Daemon& daemon : daemons) {
-      if (daemon.isDown || daemon.isFrozen) {
+      if (daemon.isDown || daemon.isSuspended) {
         continue;
       }
       if (const auto action = daemon.lease.Tick(now)) {
-        Carry(daemon, *action);
+        Execute(daemon, *action);
       }
       if (daemon.lease.MayOrder(now)) {
-        NoteOrder(daemon);
+        RecordOrder(daemon);
       }
     }
   }
 
-  void Carry(Daemon& aDaemon, const LeaseAction& aAction)
+  void Execute(Daemon& aDaemon, const LeaseAction& aAction)
   {
     const auto* write = std::get_if<WriteLease>(&aAction);
-    if (aDaemon.isCut) {
+    if (aDaemon.isStoreUnreachable) {
       write == nullptr ? aDaemon.lease.OnReadFailed(now) : aDaemon.lease.OnWriteFailed(now, false);
       return;
     }
@@ -116,7 +120,7 @@
     row = write->row;
     version = { nextVersion++ };
     std::uniform_real_distribution<double> chance(0.0, 1.0);
-    if (chance(random) < lostAnswers) {
+    if (chance(random) < lostAnswerProbability) {
       aDaemon.lease.OnWriteFailed(now, true);
       return;
     }
@@ -125,15 +129,15 @@
 
   /* Checks an order that the daemon sends now. Runners do not compare fencing tokens, so orders of
    * two holders must be the spacing apart, besides having increasing tokens. */
-  void NoteOrder(const Daemon& aDaemon)
+  void RecordOrder(const Daemon& aDaemon)
   {
-    if (!lastOrderer.empty() && lastOrderer != aDaemon.name && now - lastOrderAt < kSpacing) {
-      violations.push_back(aDaemon.name + " sends orders too soon after " + lastOrderer);
+    if (!lastSender.empty() && lastSender != aDaemon.name && now - lastOrderAt < kSpacing) {
+      violations.push_back(aDaemon.name + " sends orders too soon after " + lastSender);
     }
-    if (lastOrderer != aDaemon.name && aDaemon.lease.fence() <= lastFence) {
-      violations.push_back(aDaemon.name + " has no higher fencing token than " + lastOrderer);
+    if (lastSender != aDaemon.name && aDaemon.lease.fence() <= lastFence) {
+      violations.push_back(aDaemon.name + " has no higher fencing token than " + lastSender);
     }
-    lastOrderer = aDaemon.name;
+    lastSender = aDaemon.name;
     lastOrderAt = now;
     lastFence = std::max(lastFence, aDaemon.lease.fence());
   }
@@ -145,7 +149,7 @@
 {
   LeaseWorld world(3);
   world.Run(1s);
-  CHECK(world.Holders() == 1);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
   CHECK(world.violations.empty());
 }
 
@@ -153,14 +157,14 @@
 {
   LeaseWorld world(3);
   world.Run(2s);
-  REQUIRE(world.Holders() == 1);
+  REQUIRE(world.CountDaemonsThatMayOrder() == 1);
   for (auto& daemon : world.daemons) {
     daemon.isDown = daemon.lease.isHolder();
   }
   world.Run(3s);
-  CHECK(world.Holders() == 0);
+  CHECK(world.CountDaemonsThatMayOrder() == 0);
   world.Run(4s);
-  CHECK(world.Holders() == 1);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
   CHECK(world.violations.empty());
 }
 
@@ -169,14 +173,14 @@
   LeaseWorld world(2);
   world.Run(2s);
   const std::size_t holder = world.daemons[0].lease.isHolder() ? 0 : 1;
-  world.daemons[holder].isFrozen = true;
+  world.daemons[holder].isSuspended = true;
   world.Run(8s);
   CHECK(world.daemons[1 - holder].lease.MayOrder(world.now));
-  world.daemons[holder].isFrozen = false;
+  world.daemons[holder].isSuspended = false;
   CHECK_FALSE(world.daemons[holder].lease.MayOrder(world.now));
   world.Run(2s);
   CHECK(world.violations.empty());
-  CHECK(world.Holders() == 1);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
 }
 
 TEST_CASE("the last holder may send orders within a second after its process restarts")
@@ -185,7 +189,7 @@
   world.Run(2s);
   world.Restart(0);
   world.Run(1s);
-  CHECK(world.Holders() == 1);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
   CHECK(world.violations.empty());
 }
 
@@ -199,7 +203,7 @@
   CHECK(world.daemons[holder].lease.isReleased());
   world.daemons[holder].isDown = true;
   world.Run(4s);
-  CHECK(world.Holders() == 1);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
   CHECK(world.violations.empty());
 }
 
@@ -207,18 +211,18 @@
 {
   LeaseWorld world(3);
   world.Run(2s);
-  const std::string holder = world.lastOrderer;
+  const std::string holder = world.lastSender;
   for (auto& daemon : world.daemons) {
-    daemon.isCut = true;
+    daemon.isStoreUnreachable = true;
   }
   world.Run(8s);
-  CHECK(world.Holders() == 0);
+  CHECK(world.CountDaemonsThatMayOrder() == 0);
   for (auto& daemon : world.daemons) {
-    daemon.isCut = false;
+    daemon.isStoreUnreachable = false;
   }
   world.Run(2s);
-  CHECK(world.Holders() == 1);
-  CHECK(world.lastOrderer == holder);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
+  CHECK(world.lastSender == holder);
   CHECK(world.violations.empty());
 }
 
@@ -226,13 +230,13 @@
 {
   LeaseWorld world(3);
   world.Run(2s);
-  const std::string holder = world.lastOrderer;
+  const std::string holder = world.lastSender;
   for (auto& daemon : world.daemons) {
-    daemon.isCut = daemon.lease.isHolder();
+    daemon.isStoreUnreachable = daemon.lease.isHolder();
   }
   world.Run(8s);
-  CHECK(world.Holders() == 1);
-  CHECK(world.lastOrderer != holder);
+  CHECK(world.CountDaemonsThatMayOrder() == 1);
+  CHECK(world.lastSender != holder);
   CHECK(world.violations.empty());
 }
 
@@ -242,7 +246,7 @@
     INFO("seed ", seed);
     LeaseWorld world(4);
     world.random.seed(seed);
-    world.lostAnswers = 0.1;
+    world.lostAnswerProbability = 0.1;
     std::uniform_int_distribution<std::size_t> which(0, 3);
     std::uniform_int_distribution<int> what(0, 7);
     for (int step = 0; step < 120; ++step) {
@@ -252,10 +256,10 @@
           daemon.isDown = true;
           break;
         case 1:
-          daemon.isFrozen = !daemon.isFrozen;
+          daemon.isSuspended = !daemon.isSuspended;
           break;
         case 2:
-          daemon.isCut = !daemon.isCut;
+          daemon.isStoreUnreachable = !daemon.isStoreUnreachable;
           break;
         case 3:
           if (daemon.isDown) {
