--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -1,5 +1,5 @@
 /* An at-most-once request runs at most once when the table fails, loses answers or applies writes
- * late, and when daemons die or stop. */
+ * late, and when daemons fail or shut down. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TEST_CASE("the same key again runs nothing and gets a true answer")
+TEST_CASE(
+  "a second request with the same idempotency key is not run and gets the right result code")
 {
   struct Case
   {
@@ -35,7 +36,7 @@
     { "other daemon, in flight", 1, 500ms, "f", false, 1302 },
     { "other daemon, done", 1, 4s, "f", false, 1000 },
     { "other daemon, other body", 1, 4s, "g", false, 1303 },
-    { "other daemon, the first one died", 1, 500ms, "f", true, 3102 },
+    { "other daemon, the first one failed", 1, 500ms, "f", true, 3102 },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -61,8 +62,8 @@
   }
 }
 
-TEST_CASE(
-  "a request that was refused as not claimed can be sent again, whatever became of the write")
+TEST_CASE("a request that is refused without a claim can be sent again, whether or not its claim "
+          "was written")
 {
   for (const TableMode mode : { TableMode::kDown, TableMode::kAnswerLost, TableMode::kLate }) {
     for (const Duration takesEffectAfter : { 0ms, 3'000ms, 20'000ms }) {
@@ -93,7 +94,7 @@
   }
 }
 
-TEST_CASE("a claim whose answer was lost is found again")
+TEST_CASE("a request is run if its claim was written but the answer to the write was lost")
 {
   World world({});
   world.mode = TableMode::kAnswerLost;
@@ -105,7 +106,7 @@
   CHECK(world.started.size() == 1);
 }
 
-TEST_CASE("a long outage leaves no more than one batch of claims behind")
+TEST_CASE("a long outage of the table leaves at most one batch of claims open")
 {
   World world({});
   world.mode = TableMode::kDown;
@@ -121,7 +122,8 @@
   CHECK(world.DumpOf("router.claims") == "0");
 }
 
-TEST_CASE("a daemon that stops writes its claims, and does not wait for ever for a table")
+TEST_CASE(
+  "a daemon that shuts down writes its claims, and keeps no requests open if the table is down")
 {
   for (const TableMode mode : { TableMode::kUp, TableMode::kDown }) {
     INFO(static_cast<int>(mode));
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -1,5 +1,5 @@
-/* Customers with few requests are served beside one with many: queue order, queue limits and the
- * estimate of the time to an answer. */
+/* Customers with few requests are served beside a customer with many: queue order, queue limits and
+ * the estimate of the time to an answer. */
 #include "decision/router/fair_queue_base.h"
 #include "tests/unit/router_world.h"
 
@@ -8,7 +8,7 @@
 using namespace rhubarbtrail;
 using namespace rhubarbtrail::test;
 
-TEST_CASE("the count ahead of a request depends on its customer's own backlog")
+TEST_CASE("the number of requests ahead depends on the backlog of the same customer")
 {
   struct Case
   {
@@ -26,8 +26,10 @@
   }
   queue.Push({ .request = RequestId{ "u" }, .customer = CustomerId{ "urgent" }, .priority = 0 });
   const std::vector<Case> cases{
-    { "the large customer", "big", 1, 1, 101 },         { "a small customer", "small", 1, 1, 2 },
-    { "a heavier small customer", "small", 2, 1, 1.5 }, { "an urgent request", "small", 1, 0, 1 },
+    { "the large customer", "big", 1, 1, 101 },
+    { "a small customer", "small", 1, 1, 2 },
+    { "a small customer of weight 2", "small", 2, 1, 1.5 },
+    { "an urgent request", "small", 1, 0, 1 },
     { "a request that can wait", "small", 1, 2, 101 },
   };
   for (const Case& row : cases) {
@@ -41,7 +43,8 @@
   CHECK(!queue.LastRequestOf(CustomerId{ "nobody" }));
 }
 
-TEST_CASE("a large customer fills neither the daemon nor a small one's deadline")
+TEST_CASE(
+  "a large customer does not fill the daemon's queue or delay a small one past its deadline")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings& aSettings) {
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1'000;
@@ -70,7 +73,7 @@
   CHECK(answered == 99);
 }
 
-TEST_CASE("what can't be answered in time is refused at once, with the time to come back")
+TEST_CASE("a request that cannot be answered in time is refused at once with a retry-after time")
 {
   World world({});
   world.serve = [](const Started&) {
@@ -90,7 +93,7 @@
   CHECK(world.CodeOf(patient) == 1000);
 }
 
-TEST_CASE("a request is not refused for the time that earlier ones took on free slots")
+TEST_CASE("long service times of earlier requests cause no refusal while slots are free")
 {
   World world({});
   Duration time = 10s;
--- a/tests/unit/keep_alive_test.cpp
+++ b/tests/unit/keep_alive_test.cpp
@@ -1,4 +1,5 @@
-/* Keep-alive policies: what is held, what is given back, and what is loaded ahead. */
+/* Keep-alive policies: which idle replicas stay loaded, and which models are loaded ahead of their
+ * next use. */
 #include "decision/scheduler/keep_alive_base.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("idle times fall into the bucket that ends after them")
+TEST_CASE("an idle time is counted in the histogram bucket that contains it")
 {
   for (const Duration idle : { Duration{ 0 },
                                Duration{ 999ms },
@@ -36,7 +37,7 @@
   }
 }
 
-TEST_CASE("which replicas are worth their memory")
+TEST_CASE("which models the policies keep loaded and preload")
 {
   const std::vector<Duration> often(20, 20s);
   const std::vector<Duration> hourly(20, 1h);
@@ -55,13 +56,13 @@
     { "fixed, at its limit", FixedKeepAlive{ 60s }, often, 60s, false, false },
     { "histogram, within the tail", HistogramKeepAlive{}, often, 19s, true, false },
     { "histogram, after the tail", HistogramKeepAlive{}, often, 40s, false, false },
-    { "histogram, returns too late", HistogramKeepAlive{}, seldom, 6s, false, false },
-    { "histogram, too little seen", HistogramKeepAlive{}, { 1h }, 50s, true, false },
-    { "cost, too little seen", CostAwareKeepAlive{}, { 1h }, 50s, true, false },
-    { "cost, returns soon", CostAwareKeepAlive{}, often, 10s, true, true },
-    { "cost, the return is overdue", CostAwareKeepAlive{}, often, 60s, false, false },
-    { "cost, returns much later", CostAwareKeepAlive{}, hourly, 60s, false, false },
-    { "cost, about to return", CostAwareKeepAlive{ 20 }, hourly, 3'550s, true, true },
+    { "histogram, next use too late", HistogramKeepAlive{}, seldom, 6s, false, false },
+    { "histogram, too few idle times", HistogramKeepAlive{}, { 1h }, 50s, true, false },
+    { "cost, too few idle times", CostAwareKeepAlive{}, { 1h }, 50s, true, false },
+    { "cost, next use soon", CostAwareKeepAlive{}, often, 10s, true, true },
+    { "cost, next use overdue", CostAwareKeepAlive{}, often, 60s, false, false },
+    { "cost, next use much later", CostAwareKeepAlive{}, hourly, 60s, false, false },
+    { "cost, next use due", CostAwareKeepAlive{ 20 }, hourly, 3'550s, true, true },
     { "cost, hardly ever used", CostAwareKeepAlive{}, seldom, 10s, false, false },
   };
   const IdleHistogram cell;
@@ -74,7 +75,7 @@
   }
 }
 
-TEST_CASE("a model that is new to a known cell is treated like the others")
+TEST_CASE("a model without idle times is treated like the others of its cell")
 {
   IdleHistogram cell;
   for (int i = 0; i < 50; ++i) {
@@ -85,7 +86,7 @@
   CHECK_FALSE(ShouldKeepLoaded(CostAwareKeepAlive{}, input, 20s));
 }
 
-TEST_CASE("a higher weight never holds less")
+TEST_CASE("a higher cold start weight never keeps a replica for less time")
 {
   const ModelUsage usage = UsageOf({ 15s, 20s, 40s, 80s, 300s, 900s, 1h, 2h, 15s, 30s });
   const IdleHistogram cell;
--- a/tests/unit/layering_test.cpp
+++ b/tests/unit/layering_test.cpp
@@ -1,4 +1,5 @@
-/* The decision library includes nothing of the other packages, and no I/O. */
+/* Checks the include lines of the decision library: of this project only src/core and src/decision,
+ * no external libraries, and no standard headers for I/O, threads or random numbers. */
 #include <doctest/doctest.h>
 
 #include <array>
@@ -8,7 +9,7 @@
 
 namespace {
 
-/* Returns what is wrong with an include line of the decision library, or an empty text. */
+/* Returns what is forbidden in an include line, or an empty text if the line is allowed. */
 std::string FaultOf(const std::string& aLine)
 {
   constexpr std::array kForbidden{ "<thread>",  "<mutex>",      "<fstream>", "<random>",  "<sys/",
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,5 @@
 /* A request that crashes runners is quarantined after two crashes. Other requests that were in
- * flight on the same runners are not. */
+ * flight at the same runners are not. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/* Runners that crash when they run one of `killers`. All requests in flight there fail, too. */
+/* Runners that crash when they run one of `killers`. All other requests in flight there fail, too.
+ */
 struct CrashingRunners
 {
   explicit CrashingRunners(World& aWorld)
@@ -51,15 +52,15 @@
 
 } // namespace
 
-TEST_CASE("a killer is convicted after two crashes, its batch on all daemons is not")
+TEST_CASE("a crashing request is quarantined after two crashes, and requests beside it are not")
 {
   for (const std::size_t daemons : { 1, 3 }) {
     for (const std::size_t killerAt : { 0, 2 }) {
-      INFO(daemons, " daemons, killer at ", killerAt);
+      INFO(daemons, " daemons, crashing request at daemon ", killerAt);
       World world({ .daemons = daemons, .runners = 3 });
       CrashingRunners crashing(world);
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        world.SendRequest({}, daemon); // Loads the model and tells each daemon of it.
+        world.SendRequest({}, daemon); // Loads the model and makes each daemon know of it.
       }
       world.Run(2s);
       std::vector<RequestId> innocents;
@@ -90,7 +91,7 @@
   }
 }
 
-TEST_CASE("nobody else uses the runner of an isolated suspect")
+TEST_CASE("the runner of an isolated suspect gets no other requests")
 {
   World world({ .daemons = 3 });
   CrashingRunners crashing(world);
@@ -114,7 +115,7 @@
   CHECK(world.finished.size() == 104);
 }
 
-TEST_CASE("a runner is taken back when the daemon of its suspect dies")
+TEST_CASE("an isolated runner is released when the daemon of its suspect fails")
 {
   World world({ .daemons = 3 });
   world.serve = [&](const Started& aStarted) {
@@ -124,7 +125,7 @@
              ? (isFirst ? std::optional{ Served{ AttemptOutcome::kCrashed, 1ms } } : std::nullopt)
              : std::optional{ Served{} };
   };
-  // The daemon that does not hold the cell dies.
+  // Daemon 2 fails if daemon 0 holds the cell, otherwise daemon 1.
   const std::size_t holder = world.DumpOf("cells.models.held", 0) == "yes" ? 0 : 1;
   const std::size_t victim = 2 - holder;
   world.SendRequest({ .fingerprint = FingerprintId{ "f" } }, victim);
@@ -138,7 +139,7 @@
   CHECK(world.CodeOf(blocked) == 1000);
 }
 
-TEST_CASE("a release by an operator refuses no request that waits")
+TEST_CASE("a release from quarantine by an operator does not refuse waiting requests")
 {
   World world({ .daemons = 2 });
   world.serve = [](const Started&) { return std::optional<Served>{}; };
--- a/tests/unit/replica_count_test.cpp
+++ b/tests/unit/replica_count_test.cpp
@@ -1,4 +1,4 @@
-/* The decided number of replicas follows demand with hysteresis. */
+/* The target number of replicas follows demand with hysteresis. */
 #include "decision/scheduler/replica_count_policy_base.h"
 
 #include <doctest/doctest.h>
@@ -7,14 +7,14 @@
 
 using namespace rhubarbtrail;
 
-TEST_CASE("the decided number of replicas")
+TEST_CASE("the target number of replicas by recorded requests")
 {
   struct Row
   {
     const char* name;
-    std::vector<std::uint32_t> requests; ///< Reported each second.
+    std::vector<std::uint32_t> requests; ///< Recorded in each second.
     std::uint32_t maximum;
-    std::uint32_t target; ///< In the end.
+    std::uint32_t target; ///< After the last second.
   };
   const std::vector<std::uint32_t> calm(200, 5);
   std::vector<std::uint32_t> peak(10, 100);
@@ -30,8 +30,8 @@
     { "overload", peak, 4, 4 },
     { "overload up to the limit", peak, 2, 2 },
     { "a short dip", dip, 4, 4 },
-    { "the overload is over", over, 4, 1 },
-    { "too much for one replica less", between, 4, 4 },
+    { "an overload that has ended", over, 4, 1 },
+    { "too much for one replica fewer", between, 4, 4 },
   };
   for (const Row& row : rows) {
     CAPTURE(row.name);
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("reports of several routers add up and run out")
+TEST_CASE("requests recorded by several routers add up and expire")
 {
   ReplicaCountPolicy policy;
   TimePoint now{};
@@ -67,7 +67,7 @@
   CHECK(policy.target() == 1);
 }
 
-TEST_CASE("a new holder adopts the replicas that it finds")
+TEST_CASE("a new holder raises the target to the replicas that it finds")
 {
   ReplicaCountPolicy policy;
   policy.RaiseTarget(3);
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -1,4 +1,4 @@
-/* The answers of requests and the state of the router under faults of endpoints, runners and
+/* The results of requests and the state of the router under faults of endpoints, runners and cell
  * holders. */
 #include "tests/unit/router_world.h"
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("every outcome of an attempt ends in one true answer")
+TEST_CASE("each outcome of a first attempt leads to the right result code and number of attempts")
 {
   struct Case
   {
@@ -29,21 +29,21 @@
   using enum AttemptOutcome;
   const std::vector<Case> cases{
     { "completed", kCompleted, false, 1000, 1 },
-    { "completed once", kCompleted, true, 1000, 1 },
+    { "completed, at most once", kCompleted, true, 1000, 1 },
     { "not connected", kNotConnected, false, 1000, 2 },
-    { "not connected once", kNotConnected, true, 1000, 2 },
+    { "not connected, at most once", kNotConnected, true, 1000, 2 },
     { "not run", kNotRun, false, 1000, 2 },
-    { "not run once", kNotRun, true, 1000, 2 },
+    { "not run, at most once", kNotRun, true, 1000, 2 },
     { "cut", kCut, false, 1000, 2 },
-    { "cut once", kCut, true, 3101, 1 },
+    { "cut, at most once", kCut, true, 3101, 1 },
     { "silent", kSilent, false, 1000, 2 },
-    { "silent once", kSilent, true, 3101, 1 },
+    { "silent, at most once", kSilent, true, 3101, 1 },
     { "mismatched", kMismatched, false, 1000, 2 },
-    { "mismatched once", kMismatched, true, 3101, 1 },
+    { "mismatched, at most once", kMismatched, true, 3101, 1 },
     { "rejected", kRejected, false, 3103, 1 },
-    { "rejected once", kRejected, true, 3101, 1 },
+    { "rejected, at most once", kRejected, true, 3101, 1 },
     { "crashed", kCrashed, false, 1000, 2 },
-    { "crashed once", kCrashed, true, 3101, 1 },
+    { "crashed, at most once", kCrashed, true, 3101, 1 },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("a late answer of a request given up on at its deadline becomes the stored answer")
+TEST_CASE("an answer that arrives after the deadline of its request becomes the stored answer")
 {
   World world({});
   world.serve = [](const Started&) {
@@ -87,7 +87,7 @@
   CHECK(world.started.size() == 1);
 }
 
-TEST_CASE("a request whose caller has gone is not started again, and its claim is settled")
+TEST_CASE("a cancelled request is not started again, and its claim is removed if it has not run")
 {
   World world({});
   world.serve = [](const Started&) {
@@ -102,7 +102,7 @@
   CHECK(world.ClaimOf("k") == nullptr);
 }
 
-TEST_CASE("a full cell refuses those who cannot wait, and not the others")
+TEST_CASE("a full cell refuses requests with too little time left, and no others")
 {
   World world({ .runners = 0 });
   const RequestId hasty = world.SendRequest({ .timeLeft = 1s });
@@ -122,7 +122,7 @@
   CHECK(world.CodeOf(patient) == 0);
 }
 
-TEST_CASE("an idle router keeps nothing")
+TEST_CASE("an idle router keeps no requests, targets or endpoints in use")
 {
   World world({ .runners = 2 });
   for (int index = 0; index < 50; ++index) {
@@ -134,7 +134,7 @@
   CHECK(world.DumpOf("router.endpoints_in_use") == "0");
 }
 
-TEST_CASE("refusals that can be retried say when")
+TEST_CASE("refusals that can be retried have a retry-after time")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1;
@@ -149,7 +149,7 @@
   CHECK(world.finished.at(late).finish.retryAfter > 0s);
 }
 
-TEST_CASE("without a holder a request is refused before its deadline")
+TEST_CASE("a request is refused before its deadline when the cell's holder cannot be reached")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 60s;
@@ -169,7 +169,7 @@
   CHECK(world.CodeOf(third) == 1000);
 }
 
-TEST_CASE("refusals of a runner that lost the model cost innocent requests nothing")
+TEST_CASE("requests that a runner refuses while it lacks the model all succeed later")
 {
   World world({});
   const TimePoint ready = world.now + 5s;
@@ -189,7 +189,7 @@
   CHECK(world.started.size() <= 32 * 8);
 }
 
-TEST_CASE("a long stream keeps its replica")
+TEST_CASE("a replica is not drained during a long request")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 600s;
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -34,6 +34,7 @@
   Duration after = 10ms;
 };
 
+/* An attempt that a daemon has started. */
 struct Started
 {
   std::size_t daemon = 0;
@@ -41,6 +42,7 @@
   StartAttempt attempt;
 };
 
+/* The result of a request that a daemon has finished. */
 struct Finished
 {
   TimePoint at;
@@ -50,12 +52,15 @@
 struct WorldOptions
 {
   std::size_t daemons = 1;
-  int runners = 1;
+  int runners = 1; ///< Number of endpoints of each of the services "models" and "plain".
   Duration tableLatency = 5ms;
   MechanismSet disabled;
+  /* Changes the default configuration and settings, if set. */
   std::function<void(Configuration&, DecisionSettings&)> configure;
 };
 
+/* A cluster of daemons with the services "models" and "plain", the models "m" and "m2", the classes
+ * "any" and "once" and the customers "big" and "small". */
 class World
 {
 public:
@@ -99,7 +104,7 @@
     return { DaemonId{ "d" + std::to_string(aDaemon) }, IncarnationId{ "1" } };
   }
 
-  /* Sends a request to a daemon and returns its id. */
+  /* Sends a request to a daemon and returns its id. Empty fields get default values. */
   RequestId SendRequest(RequestArrived aArrived, std::size_t aDaemon = 0)
   {
     aArrived.request = RequestId{ "r" + std::to_string(++mNextRequest) };
@@ -122,6 +127,7 @@
     return aArrived.request;
   }
 
+  /* Advances the time and delivers the events that become due. */
   void Run(Duration aTime)
   {
     constexpr std::size_t kEventLimit = 5'000'000;
@@ -130,7 +136,8 @@
       auto [at, what] = std::move(*mEvents.begin());
       mEvents.erase(mEvents.begin());
       if (++mEventCount > kEventLimit) {
-        throw std::runtime_error("the daemons never come to rest");
+        throw std::runtime_error(
+          "event limit of the simulation exceeded: the daemons keep scheduling events");
       }
       now = std::max(now, at);
       Apply(what.first, what.second);
@@ -138,6 +145,8 @@
     now = until;
   }
 
+  /* Delivers an event to a daemon and carries out the actions that it returns. Does nothing if the
+   * daemon was killed. */
   void Apply(std::size_t aDaemon, const Event& aEvent)
   {
     if (mDaemons[aDaemon] == nullptr) {
@@ -148,11 +157,13 @@
     }
   }
 
+  /* Schedules an event for a daemon. */
   void Post(std::size_t aDaemon, Duration aAfter, Event aEvent)
   {
     mEvents.emplace(now + aAfter, std::pair{ aDaemon, std::move(aEvent) });
   }
 
+  /* Ends a daemon's process without a shutdown and removes the daemon from the host list. */
   void Kill(std::size_t aDaemon)
   {
     mDaemons[aDaemon] = nullptr;
@@ -167,6 +178,7 @@
     }
   }
 
+  /* Returns the number of attempts of a request. */
   std::size_t CountStarts(const RequestId& aRequest) const
   {
     return static_cast<std::size_t>(
@@ -182,6 +194,7 @@
     return found == finished.end() ? 0 : static_cast<int>(found->second.finish.code);
   }
 
+  /* Returns the value with this path in a daemon's state dump, or an empty text. */
   std::string DumpOf(const std::string& aPath, std::size_t aDaemon = 0) const
   {
     for (const DumpEntry& entry : mDaemons[aDaemon]->Dump()) {
@@ -192,6 +205,7 @@
     return {};
   }
 
+  /* Returns the claim for an idempotency key of the customer "big", or null. */
   const ClaimRow* ClaimOf(const std::string& aKey) const
   {
     const auto found = table.find(ClaimKey(CustomerId{ "big" }, IdempotencyKey{ aKey }));
@@ -202,21 +216,24 @@
 
   TimePoint now{ 1h };
   TableMode mode = TableMode::kUp;
+  /* Returns how the endpoint ends an attempt. */
   std::function<std::optional<Served>(const Started&)> serve = [](const Started&) {
     return std::optional{ Served{} };
   };
+  /* Returns whether a message that a daemon sends is lost. */
   std::function<bool(std::size_t, const SendMessage&)> drop = [](std::size_t, const SendMessage&) {
     return false;
   };
   std::vector<Started> started;
   std::map<RequestId, Finished> finished;
-  std::vector<SendMessage> sent;
+  std::vector<SendMessage> sent; ///< Messages between daemons, including lost ones.
   std::map<RowKey, Row> table;
-  std::map<EndpointId, std::set<Artifact>> loaded;
-  std::size_t transactions = 0; ///< Transactions that write claims.
-  std::size_t rowsWritten = 0;
+  std::map<EndpointId, std::set<Artifact>> loaded; ///< Models that each runner holds.
+  std::size_t transactions = 0;                    ///< Transactions that write claims.
+  std::size_t rowsWritten = 0;                     ///< Rows in these transactions.
 
 private:
+  /* Sends the current host list to all daemons. */
   void ListHosts()
   {
     HostListReceived list;
@@ -239,6 +256,7 @@
     }
   }
 
+  /* Applies a transaction to the table if all row versions are as expected. */
   TransactionResult Commit(const TableTransaction& aTransaction)
   {
     TransactionResult result{ .change = aTransaction.change, .rows = {} };
--- a/tests/unit/view_test.cpp
+++ b/tests/unit/view_test.cpp
@@ -1,4 +1,4 @@
-/* When a daemon treats another one as dead although the host list lags. */
+/* When a daemon considers another one's process proven dead, although the host list lags. */
 #include "decision/view/view_base.h"
 
 #include <doctest/doctest.h>
@@ -60,7 +60,7 @@
   CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
 }
 
-TEST_CASE("a daemon that was heard is not proven dead before the list shows it")
+TEST_CASE("a daemon that sent a heartbeat is not proven dead before the host list shows it")
 {
   ViewFixture fixture;
   fixture.ReceiveHostList({ "d0" });
@@ -68,7 +68,7 @@
   CHECK_FALSE(fixture.IsProvenDead("d1", "i1"));
 }
 
-TEST_CASE("a daemon that stays away for longer than the list lags is proven dead")
+TEST_CASE("a daemon that is absent for longer than the member timeout is proven dead")
 {
   ViewFixture fixture;
   fixture.ReceiveHostList({ "d0" });
@@ -86,7 +86,7 @@
   CHECK_FALSE(fixture.IsProvenDead("d1", "i2"));
 }
 
-TEST_CASE("a daemon that the host list has shown and shows no more is proven dead at once")
+TEST_CASE("a daemon that is removed from the host list is proven dead at once")
 {
   ViewFixture fixture;
   fixture.ReceiveHostList({ "d0", "d1" });
--- a/tests/unit/wake_test.cpp
+++ b/tests/unit/wake_test.cpp
@@ -1,4 +1,4 @@
-/* What is overdue is done at the next event, whichever it is. */
+/* Work that is overdue is done at the next event of any kind. */
 #include "decision/decision.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 
 using namespace rhubarbtrail;
 
-TEST_CASE("an event that comes before an overdue wake does what was due")
+TEST_CASE("an event that arrives before an overdue wake-up also does the due work")
 {
   Node node({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "a" },
