--- a/tests/fleet/fleet_world.h
+++ b/tests/fleet/fleet_world.h
@@ -41,7 +41,7 @@
     ModelRef subject;
     TimePoint doneAt{};
     bool isFromStore = false;
-    double remainingFraction = 0.0; ///< Remaining fraction of a load from the store, from 1 to 0.
+    double remainingFraction = 0.0; ///< Of a load from the store, from 1 to 0.
   };
   struct RunningRequest
   {
@@ -57,10 +57,10 @@
   std::set<ModelRef> adaptersToUnload; ///< Adapters to unload when no request uses them any more.
   std::set<ModelId> onDisk;
   std::optional<Order> order;
-  std::map<std::uint64_t, RunningRequest>
-    runningRequests; ///< By the number of the placement request.
-  std::deque<std::pair<TimePoint, RunnerReport>>
-    pastReports; ///< Recent states, for reports that lag.
+  /* By the number of the placement request. */
+  std::map<std::uint64_t, RunningRequest> runningRequests;
+  /* Reports of the last 200 steps, for reports that lag. */
+  std::deque<std::pair<TimePoint, RunnerReport>> pastReports;
 };
 
 /* The state of a placement request. */
@@ -132,8 +132,8 @@
   {
     TimePoint at{};
     std::function<void()> action;
-    bool isForCurrentDispatcher =
-      false; ///< Is meant for the current dispatcher and dropped if it is replaced.
+    /* The action is an answer to the current dispatcher and is dropped if that is replaced. */
+    bool isForCurrentDispatcher = false;
   };
 
   SimRunner& Find(const EndpointId& aRunner);
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -34,7 +34,7 @@
     int restarts = 0;
     OrderLease lease;
     bool isDown = false;             ///< The process does not run.
-    bool isSuspended = false;        ///< The process is suspended.
+    bool isSuspended = false;        ///< The process is stopped and keeps its state.
     bool isStoreUnreachable = false; ///< All of its reads and writes fail.
   };
 
@@ -78,8 +78,7 @@
   OrderLeaseRow row;
   RowVersion version;
   std::uint64_t nextVersion = 1;
-  double lostAnswerProbability =
-    0.0; ///< Probability that the answer to a successful write is lost.
+  double lostAnswerProbability = 0.0; ///< For the answers to successful writes.
   std::mt19937 random{ 1 };
   std::string lastSender;
   Fence lastFence;
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-RequestArrived Keyed(const char* aFingerprint = "f")
+RequestArrived KeyedRequest(const char* aFingerprint = "f")
 {
   return { .key = IdempotencyKey{ "k" }, .fingerprint = FingerprintId{ aFingerprint } };
 }
@@ -25,7 +25,7 @@
     std::size_t daemon;
     Duration pause; ///< Time between the two requests. The first runs for 2 s.
     const char* fingerprint;
-    bool firstDies;
+    bool isFirstDaemonKilled;
     int code;
   };
   const std::vector<Case> cases{
@@ -44,14 +44,14 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    world.SendRequest(Keyed());
+    world.SendRequest(KeyedRequest());
     world.Run(row.pause);
     const std::size_t writes = world.transactions;
-    if (row.firstDies) {
+    if (row.isFirstDaemonKilled) {
       world.Kill(0);
       world.Run(1s);
     }
-    const RequestId second = world.SendRequest(Keyed(row.fingerprint), row.daemon);
+    const RequestId second = world.SendRequest(KeyedRequest(row.fingerprint), row.daemon);
     if (row.pause == 500ms && row.daemon == 0) {
       CHECK(world.transactions == writes);
     }
@@ -62,15 +62,15 @@
   }
 }
 
-TEST_CASE("a request that is refused without a claim can be sent again, whether or not its claim "
-          "was written")
+TEST_CASE(
+  "a request refused without a claim can be sent again, whether or not the claim was written")
 {
   for (const TableMode mode : { TableMode::kDown, TableMode::kAnswerLost, TableMode::kLate }) {
     for (const Duration takesEffectAfter : { 0ms, 3'000ms, 20'000ms }) {
       INFO(static_cast<int>(mode), " ", takesEffectAfter.count());
       World world({});
       world.mode = mode;
-      const RequestId first = world.SendRequest(Keyed());
+      const RequestId first = world.SendRequest(KeyedRequest());
       world.Run(2500ms);
       CHECK(world.CodeOf(first) == 2103);
       world.mode = TableMode::kUp;
@@ -81,7 +81,7 @@
       if (takesEffectAfter == 3s) {
         world.ApplyLateTransactions();
       }
-      const RequestId second = world.SendRequest(Keyed());
+      const RequestId second = world.SendRequest(KeyedRequest());
       world.Run(10s);
       CHECK(world.CodeOf(second) == 1000);
       world.ApplyLateTransactions();
@@ -98,7 +98,7 @@
 {
   World world({});
   world.mode = TableMode::kAnswerLost;
-  const RequestId request = world.SendRequest(Keyed());
+  const RequestId request = world.SendRequest(KeyedRequest());
   world.Run(100ms);
   world.mode = TableMode::kUp;
   world.Run(3s);
@@ -131,7 +131,7 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    const RequestId request = world.SendRequest(Keyed());
+    const RequestId request = world.SendRequest(KeyedRequest());
     world.Run(500ms);
     world.mode = mode;
     world.Apply(0, ShutdownRequested{});
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -60,8 +60,8 @@
     large.push_back(world.SendRequest({}));
   }
   const RequestId small = world.SendRequest({ .customer = CustomerId{ "small" }, .timeLeft = 4s });
-  const RequestId hurried = world.SendRequest({ .timeLeft = 4s });
-  CHECK(world.CodeOf(hurried) == 2101);
+  const RequestId refused = world.SendRequest({ .timeLeft = 4s });
+  CHECK(world.CodeOf(refused) == 2101);
   world.Run(30s);
   CHECK(world.CodeOf(small) == 1000);
   std::size_t answered = 0;
@@ -84,13 +84,13 @@
   for (int index = 0; index < 80; ++index) {
     world.SendRequest({});
   }
-  const RequestId hopeless = world.SendRequest({ .timeLeft = 3s });
-  CHECK(world.CodeOf(hopeless) == 2102);
-  CHECK(world.finished.at(hopeless).finish.retryAfter > 2s);
-  const RequestId patient = world.SendRequest({ .timeLeft = 9s });
-  CHECK(world.CodeOf(patient) == 0);
+  const RequestId shortDeadline = world.SendRequest({ .timeLeft = 3s });
+  CHECK(world.CodeOf(shortDeadline) == 2102);
+  CHECK(world.finished.at(shortDeadline).finish.retryAfter > 2s);
+  const RequestId longDeadline = world.SendRequest({ .timeLeft = 9s });
+  CHECK(world.CodeOf(longDeadline) == 0);
   world.Run(9s);
-  CHECK(world.CodeOf(patient) == 1000);
+  CHECK(world.CodeOf(longDeadline) == 1000);
 }
 
 TEST_CASE("long service times of earlier requests cause no refusal while slots are free")
--- a/tests/unit/layering_test.cpp
+++ b/tests/unit/layering_test.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /* Returns what is forbidden in an include line, or an empty text if the line is allowed. */
-std::string FaultOf(const std::string& aLine)
+std::string ForbiddenPart(const std::string& aLine)
 {
   constexpr std::array kForbidden{ "<thread>",  "<mutex>",      "<fstream>", "<random>",  "<sys/",
                                    "<httplib",  "<nlohmann",    "<yaml-cpp", "<spdlog",   "<urcu",
                                    "<nghttp2/", "<filesystem>", "<atomic>",  "<iostream>" };
-  for (const char* word : kForbidden) {
-    if (aLine.find(word) != std::string::npos) {
-      return word;
+  for (const char* header : kForbidden) {
+    if (aLine.find(header) != std::string::npos) {
+      return header;
     }
   }
   const bool isOwn = aLine.starts_with("#include \"");
@@ -43,7 +43,7 @@
         continue;
       }
       INFO(entry.path().string(), ": ", line);
-      CHECK(FaultOf(line).empty());
+      CHECK(ForbiddenPart(line).empty());
     }
   }
   CHECK(files > 10);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/* Runners that crash when they run one of `killers`. All other requests in flight there fail, too.
- */
+/* Runners that crash when they run one of the crashing requests. All other requests in flight there
+ * fail, too. */
 struct CrashingRunners
 {
   explicit CrashingRunners(World& aWorld)
@@ -22,32 +22,33 @@
   std::optional<Served> Serve(const Started& aStarted)
   {
     const EndpointId runner = aStarted.attempt.endpoint;
-    auto& batch = running[runner];
-    std::erase_if(batch, [&](const auto& aItem) { return aItem.second <= world.now; });
-    const bool isKiller = killers.contains(aStarted.attempt.request);
-    Duration time = 300ms;
-    if (isKiller) {
+    auto& runningRequests = runningByRunner[runner];
+    std::erase_if(runningRequests, [&](const auto& aItem) { return aItem.second <= world.now; });
+    const bool isCrashing = crashingRequests.contains(aStarted.attempt.request);
+    Duration duration = 300ms;
+    if (isCrashing) {
       ++crashes;
-      largestSharedBatch = std::max(largestSharedBatch, batch.size());
-      for (const auto& [started, end] : batch) {
+      maxRequestsBesideCrash = std::max(maxRequestsBesideCrash, runningRequests.size());
+      for (const auto& [started, end] : runningRequests) {
         world.Post(started.daemon,
                    50ms,
                    AttemptEnded{ .request = started.attempt.request,
                                  .attempt = started.attempt.attempt,
                                  .outcome = AttemptOutcome::kCrashed });
       }
-      batch.clear();
+      runningRequests.clear();
       return Served{ AttemptOutcome::kCrashed, 50ms };
     }
-    batch.emplace_back(aStarted, world.now + time);
-    return Served{ AttemptOutcome::kCompleted, time };
+    runningRequests.emplace_back(aStarted, world.now + duration);
+    return Served{ AttemptOutcome::kCompleted, duration };
   }
 
   World& world;
-  std::set<RequestId> killers;
-  std::map<EndpointId, std::vector<std::pair<Started, TimePoint>>> running;
+  std::set<RequestId> crashingRequests;
+  std::map<EndpointId, std::vector<std::pair<Started, TimePoint>>> runningByRunner;
   int crashes = 0;
-  std::size_t largestSharedBatch = 0;
+  /* Largest number of other requests that were in flight at a runner when it crashed. */
+  std::size_t maxRequestsBesideCrash = 0;
 };
 
 } // namespace
@@ -55,32 +56,32 @@
 TEST_CASE("a crashing request is quarantined after two crashes, and requests beside it are not")
 {
   for (const std::size_t daemons : { 1, 3 }) {
-    for (const std::size_t killerAt : { 0, 2 }) {
-      INFO(daemons, " daemons, crashing request at daemon ", killerAt);
+    for (const std::size_t crashAt : { 0, 2 }) {
+      INFO(daemons, " daemons, crashing request at daemon ", crashAt);
       World world({ .daemons = daemons, .runners = 3 });
-      CrashingRunners crashing(world);
+      CrashingRunners crashingRunners(world);
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
         world.SendRequest({}, daemon); // Loads the model and makes each daemon know of it.
       }
       world.Run(2s);
-      std::vector<RequestId> innocents;
+      std::vector<RequestId> otherRequests;
       for (std::size_t index = 0; index < 6; ++index) {
-        innocents.push_back(world.SendRequest({}, index % daemons));
+        otherRequests.push_back(world.SendRequest({}, index % daemons));
       }
       world.Run(50ms);
-      const std::size_t at = killerAt % daemons;
-      RequestArrived killer{ .fingerprint = FingerprintId{ "killer" } };
-      crashing.killers.insert(RequestId{ "r" + std::to_string(daemons + 7) });
-      const RequestId first = world.SendRequest(killer, at);
-      REQUIRE(crashing.killers.contains(first));
+      const std::size_t at = crashAt % daemons;
+      RequestArrived suspect{ .fingerprint = FingerprintId{ "killer" } };
+      crashingRunners.crashingRequests.insert(RequestId{ "r" + std::to_string(daemons + 7) });
+      const RequestId first = world.SendRequest(suspect, at);
+      REQUIRE(crashingRunners.crashingRequests.contains(first));
       world.Run(25s);
       CHECK(world.CodeOf(first) == 5103);
-      CHECK(crashing.crashes == 2);
-      for (const RequestId& innocent : innocents) {
-        CHECK(world.CodeOf(innocent) == 1000);
+      CHECK(crashingRunners.crashes == 2);
+      for (const RequestId& other : otherRequests) {
+        CHECK(world.CodeOf(other) == 1000);
       }
       for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
-        const RequestId again = world.SendRequest(killer, daemon);
+        const RequestId again = world.SendRequest(suspect, daemon);
         CHECK(world.CodeOf(again) == 5101);
         CHECK(world.DumpOf("router.suspects", daemon) == "0");
       }
@@ -94,23 +95,23 @@
 TEST_CASE("the runner of an isolated suspect gets no other requests")
 {
   World world({ .daemons = 3 });
-  CrashingRunners crashing(world);
+  CrashingRunners crashingRunners(world);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     world.SendRequest({}, daemon);
   }
   world.Run(2s);
-  crashing.killers.insert(RequestId{ "r4" });
-  const RequestId killer = world.SendRequest({ .fingerprint = FingerprintId{ "killer" } }, 1);
+  crashingRunners.crashingRequests.insert(RequestId{ "r4" });
+  const RequestId suspect = world.SendRequest({ .fingerprint = FingerprintId{ "killer" } }, 1);
   for (int index = 0; index < 100; ++index) {
     world.Run(100ms);
     world.SendRequest({}, static_cast<std::size_t>(index) % 3);
   }
   world.Run(30s);
-  CHECK(world.CodeOf(killer) == 5103);
-  CHECK(crashing.crashes == 2);
-  CHECK(crashing.largestSharedBatch == 0);
+  CHECK(world.CodeOf(suspect) == 5103);
+  CHECK(crashingRunners.crashes == 2);
+  CHECK(crashingRunners.maxRequestsBesideCrash == 0);
   for (const auto& [request, finished] : world.finished) {
-    CHECK((request == killer || finished.finish.code == ResultCode::kOk));
+    CHECK((request == suspect || finished.finish.code == ResultCode::kOk));
   }
   CHECK(world.finished.size() == 104);
 }
@@ -127,14 +128,14 @@
   };
   // Daemon 2 fails if daemon 0 holds the cell, otherwise daemon 1.
   const std::size_t holder = world.DumpOf("cells.models.held", 0) == "yes" ? 0 : 1;
-  const std::size_t victim = 2 - holder;
-  world.SendRequest({ .fingerprint = FingerprintId{ "f" } }, victim);
+  const std::size_t failedDaemon = 2 - holder;
+  world.SendRequest({ .fingerprint = FingerprintId{ "f" } }, failedDaemon);
   world.Run(5s);
   CHECK(world.started.size() == 2);
   const RequestId blocked = world.SendRequest({}, holder);
   world.Run(2s);
   CHECK(world.CodeOf(blocked) == 0);
-  world.Kill(victim);
+  world.Kill(failedDaemon);
   world.Run(3s);
   CHECK(world.CodeOf(blocked) == 1000);
 }
--- a/tests/unit/replica_count_test.cpp
+++ b/tests/unit/replica_count_test.cpp
@@ -17,20 +17,20 @@
     std::uint32_t target; ///< After the last second.
   };
   const std::vector<std::uint32_t> calm(200, 5);
-  std::vector<std::uint32_t> peak(10, 100);
-  std::vector<std::uint32_t> dip = peak;
+  std::vector<std::uint32_t> overload(10, 100);
+  std::vector<std::uint32_t> dip = overload;
   dip.insert(dip.end(), 30, 5);
-  std::vector<std::uint32_t> over = peak;
-  over.insert(over.end(), 200, 5);
-  std::vector<std::uint32_t> between = peak;
+  std::vector<std::uint32_t> ended = overload;
+  ended.insert(ended.end(), 200, 5);
+  std::vector<std::uint32_t> between = overload;
   between.insert(between.end(), 200, 30);
   const std::vector<Row> rows{
     { "calm", calm, 4, 1 },
     { "a peak of one second", { 5, 100, 5, 5 }, 4, 1 },
-    { "overload", peak, 4, 4 },
-    { "overload up to the limit", peak, 2, 2 },
+    { "overload", overload, 4, 4 },
+    { "overload up to the limit", overload, 2, 2 },
     { "a short dip", dip, 4, 4 },
-    { "an overload that has ended", over, 4, 1 },
+    { "an overload that has ended", ended, 4, 1 },
     { "too much for one replica fewer", between, 4, 4 },
   };
   for (const Row& row : rows) {
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-RequestArrived Once(const char* aKey)
+RequestArrived AtMostOnce(const char* aKey)
 {
   return { .key = IdempotencyKey{ aKey } };
 }
@@ -22,7 +22,7 @@
   {
     const char* name;
     AttemptOutcome first;
-    bool isOnce;
+    bool isAtMostOnce;
     int code;
     std::size_t starts;
   };
@@ -52,11 +52,12 @@
       const bool isFirst = aStarted.attempt.attempt.value == 1;
       return std::optional{ Served{ isFirst ? row.first : kCompleted, 10ms } };
     };
-    const RequestId request = world.SendRequest(row.isOnce ? Once("k") : RequestArrived{});
+    const RequestId request =
+      world.SendRequest(row.isAtMostOnce ? AtMostOnce("k") : RequestArrived{});
     world.Run(20s);
     CHECK(world.CodeOf(request) == row.code);
     CHECK(world.CountStarts(request) == row.starts);
-    if (row.isOnce) {
+    if (row.isAtMostOnce) {
       REQUIRE(world.ClaimOf("k") != nullptr);
       CHECK(world.ClaimOf("k")->state ==
             (row.code == 1000 ? ClaimState::kDone : ClaimState::kUnknown));
@@ -70,7 +71,7 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 6s } };
   };
-  RequestArrived arrived = Once("k");
+  RequestArrived arrived = AtMostOnce("k");
   arrived.timeLeft = 5s;
   arrived.fingerprint = FingerprintId{ "same" };
   const RequestId first = world.SendRequest(arrived);
@@ -93,7 +94,7 @@
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kNotRun, 1s } };
   };
-  const RequestId request = world.SendRequest(Once("k"));
+  const RequestId request = world.SendRequest(AtMostOnce("k"));
   world.Run(500ms);
   CHECK(world.CountStarts(request) == 1);
   world.Apply(0, RequestCancelled{ request });
@@ -105,8 +106,8 @@
 TEST_CASE("a full cell refuses requests with too little time left, and no others")
 {
   World world({ .runners = 0 });
-  const RequestId hasty = world.SendRequest({ .timeLeft = 1s });
-  const RequestId patient = world.SendRequest({ .timeLeft = 14s });
+  const RequestId shortDeadline = world.SendRequest({ .timeLeft = 1s });
+  const RequestId longDeadline = world.SendRequest({ .timeLeft = 14s });
   world.Apply(0,
               MessageReceived{ .from = World::IncarnationOf(0),
                                .senderVersion = { 1 },
@@ -118,8 +119,8 @@
                                  .refusal = ResultCode::kReplicaUnavailable,
                                  .refusesBelow = 5s,
                                  .fence = { 1'000 } } });
-  CHECK(world.CodeOf(hasty) == static_cast<int>(ResultCode::kReplicaUnavailable));
-  CHECK(world.CodeOf(patient) == 0);
+  CHECK(world.CodeOf(shortDeadline) == static_cast<int>(ResultCode::kReplicaUnavailable));
+  CHECK(world.CodeOf(longDeadline) == 0);
 }
 
 TEST_CASE("an idle router keeps no requests, targets or endpoints in use")
@@ -140,13 +141,13 @@
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1;
   } });
   world.serve = [](const Started&) { return std::optional<Served>{}; };
-  const RequestId late = world.SendRequest({ .timeLeft = 1s });
-  const RequestId full = world.SendRequest({});
+  const RequestId expired = world.SendRequest({ .timeLeft = 1s });
+  const RequestId overQueueLimit = world.SendRequest({});
   world.Run(2s);
-  CHECK(world.CodeOf(full) == 2101);
-  CHECK(world.finished.at(full).finish.retryAfter > 0s);
-  CHECK(world.CodeOf(late) == 3103);
-  CHECK(world.finished.at(late).finish.retryAfter > 0s);
+  CHECK(world.CodeOf(overQueueLimit) == 2101);
+  CHECK(world.finished.at(overQueueLimit).finish.retryAfter > 0s);
+  CHECK(world.CodeOf(expired) == 3103);
+  CHECK(world.finished.at(expired).finish.retryAfter > 0s);
 }
 
 TEST_CASE("a request is refused before its deadline when the cell's holder cannot be reached")
@@ -154,7 +155,7 @@
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 60s;
   } });
-  world.drop = [](std::size_t, const SendMessage& aMessage) {
+  world.isMessageLost = [](std::size_t, const SendMessage& aMessage) {
     return std::holds_alternative<DemandMessage>(aMessage.message);
   };
   const RequestId first = world.SendRequest({});
@@ -163,7 +164,7 @@
   const RequestId second = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(second) == 2104);
-  world.drop = [](std::size_t, const SendMessage&) { return false; };
+  world.isMessageLost = [](std::size_t, const SendMessage&) { return false; };
   const RequestId third = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(third) == 1000);
@@ -201,7 +202,7 @@
   world.SendRequest({});
   world.Run(60s);
   std::size_t drains = 0;
-  for (const SendMessage& message : world.sent) {
+  for (const SendMessage& message : world.sentMessages) {
     drains += std::holds_alternative<DrainMessage>(message.message) ? 1 : 0;
   }
   CHECK(drains == 0);
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -31,7 +31,7 @@
 struct Served
 {
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  Duration after = 10ms;
+  Duration delay = 10ms;
 };
 
 /* An attempt that a daemon has started. */
@@ -43,7 +43,7 @@
 };
 
 /* The result of a request that a daemon has finished. */
-struct Finished
+struct FinishedRequest
 {
   TimePoint at;
   FinishRequest finish;
@@ -95,7 +95,7 @@
         .self = IncarnationOf(index), .settings = settings, .disabled = mOptions.disabled }));
       Post(index, {}, ConfigurationLoaded{ { .version = { 1 } }, mConfiguration });
     }
-    ListHosts();
+    SendHostList();
     Run(3s);
   }
 
@@ -133,14 +133,14 @@
     constexpr std::size_t kEventLimit = 5'000'000;
     const TimePoint until = now + aTime;
     while (!mEvents.empty() && mEvents.begin()->first <= until) {
-      auto [at, what] = std::move(*mEvents.begin());
+      auto [at, scheduled] = std::move(*mEvents.begin());
       mEvents.erase(mEvents.begin());
       if (++mEventCount > kEventLimit) {
         throw std::runtime_error(
           "event limit of the simulation exceeded: the daemons keep scheduling events");
       }
       now = std::max(now, at);
-      Apply(what.first, what.second);
+      Apply(scheduled.first, scheduled.second);
     }
     now = until;
   }
@@ -158,16 +158,16 @@
   }
 
   /* Schedules an event for a daemon. */
-  void Post(std::size_t aDaemon, Duration aAfter, Event aEvent)
+  void Post(std::size_t aDaemon, Duration aDelay, Event aEvent)
   {
-    mEvents.emplace(now + aAfter, std::pair{ aDaemon, std::move(aEvent) });
+    mEvents.emplace(now + aDelay, std::pair{ aDaemon, std::move(aEvent) });
   }
 
   /* Ends a daemon's process without a shutdown and removes the daemon from the host list. */
   void Kill(std::size_t aDaemon)
   {
     mDaemons[aDaemon] = nullptr;
-    ListHosts();
+    SendHostList();
   }
 
   /* Lets the transactions of TableMode::kLate take effect. */
@@ -221,20 +221,19 @@
     return std::optional{ Served{} };
   };
   /* Returns whether a message that a daemon sends is lost. */
-  std::function<bool(std::size_t, const SendMessage&)> drop = [](std::size_t, const SendMessage&) {
-    return false;
-  };
+  std::function<bool(std::size_t, const SendMessage&)> isMessageLost =
+    [](std::size_t, const SendMessage&) { return false; };
   std::vector<Started> started;
-  std::map<RequestId, Finished> finished;
-  std::vector<SendMessage> sent; ///< Messages between daemons, including lost ones.
+  std::map<RequestId, FinishedRequest> finished;
+  std::vector<SendMessage> sentMessages; ///< Messages between daemons, including lost ones.
   std::map<RowKey, Row> table;
-  std::map<EndpointId, std::set<Artifact>> loaded; ///< Models that each runner holds.
-  std::size_t transactions = 0;                    ///< Transactions that write claims.
-  std::size_t rowsWritten = 0;                     ///< Rows in these transactions.
+  std::map<EndpointId, std::set<Artifact>> loadedArtifacts;
+  std::size_t transactions = 0; ///< Transactions that write claims.
+  std::size_t rowsWritten = 0;  ///< Rows in these transactions.
 
 private:
   /* Sends the current host list to all daemons. */
-  void ListHosts()
+  void SendHostList()
   {
     HostListReceived list;
     for (std::size_t index = 0; index < mDaemons.size(); ++index) {
@@ -290,7 +289,7 @@
                           .outcome = served->outcome,
                           .httpStatus = 200,
                           .answer = "answer" };
-      Post(aDaemon, served->after, ended);
+      Post(aDaemon, served->delay, ended);
     }
   }
   void Execute(std::size_t aDaemon, const StopAttempt& aStop)
@@ -303,7 +302,7 @@
   }
   void Execute(std::size_t /*aDaemon*/, const FinishRequest& aFinish)
   {
-    finished.try_emplace(aFinish.request, Finished{ now, aFinish });
+    finished.try_emplace(aFinish.request, FinishedRequest{ now, aFinish });
   }
   void Execute(std::size_t aDaemon, const TableTransaction& aTransaction)
   {
@@ -335,7 +334,7 @@
   }
   void Execute(std::size_t aDaemon, const SendOrder& aOrder)
   {
-    auto& artifacts = loaded[aOrder.runner];
+    auto& artifacts = loadedArtifacts[aOrder.runner];
     if (aOrder.kind == OrderKind::kLoadModel) {
       artifacts.insert(aOrder.artifact);
     } else if (aOrder.kind == OrderKind::kUnloadModel) {
@@ -351,8 +350,8 @@
   }
   void Execute(std::size_t aDaemon, const SendMessage& aMessage)
   {
-    sent.push_back(aMessage);
-    if (drop(aDaemon, aMessage)) {
+    sentMessages.push_back(aMessage);
+    if (isMessageLost(aDaemon, aMessage)) {
       return;
     }
     const std::size_t to = std::stoul(aMessage.to.str().substr(1));
