--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -1,5 +1,5 @@
 /* An at-most-once request runs at most once when the table fails, loses answers or applies writes
- * late, and when daemons die or stop. */
+ * late, and when daemons fail or shut down. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -9,14 +9,15 @@
 
 namespace {
 
-RequestArrived Keyed(const char* aFingerprint = "f")
+RequestArrived KeyedRequest(const char* aFingerprint = "f")
 {
   return { .key = IdempotencyKey{ "k" }, .fingerprint = FingerprintId{ aFingerprint } };
 }
 
 } // namespace
 
-TEST_CASE("the same key again runs nothing and gets a true answer")
+TEST_CASE(
+  "a second request with the same idempotency key is not run and gets the right result code")
 {
   struct Case
   {
@@ -24,7 +25,7 @@
     std::size_t daemon;
     Duration pause; ///< Time between the two requests. The first runs for 2 s.
     const char* fingerprint;
-    bool firstDies;
+    bool isFirstDaemonKilled;
     int code;
   };
   const std::vector<Case> cases{
@@ -35,7 +36,7 @@
     { "other daemon, in flight", 1, 500ms, "f", false, 1302 },
     { "other daemon, done", 1, 4s, "f", false, 1000 },
     { "other daemon, other body", 1, 4s, "g", false, 1303 },
-    { "other daemon, the first one died", 1, 500ms, "f", true, 3102 },
+    { "other daemon, the first one failed", 1, 500ms, "f", true, 3102 },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -43,14 +44,14 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    world.SendRequest(Keyed());
+    world.SendRequest(KeyedRequest());
     world.Run(row.pause);
     const std::size_t writes = world.transactions;
-    if (row.firstDies) {
+    if (row.isFirstDaemonKilled) {
       world.Kill(0);
       world.Run(1s);
     }
-    const RequestId second = world.SendRequest(Keyed(row.fingerprint), row.daemon);
+    const RequestId second = world.SendRequest(KeyedRequest(row.fingerprint), row.daemon);
     if (row.pause == 500ms && row.daemon == 0) {
       CHECK(world.transactions == writes);
     }
@@ -62,14 +63,14 @@
 }
 
 TEST_CASE(
-  "a request that was refused as not claimed can be sent again, whatever became of the write")
+  "a request refused without a claim can be sent again, whether or not the claim was written")
 {
   for (const TableMode mode : { TableMode::kDown, TableMode::kAnswerLost, TableMode::kLate }) {
     for (const Duration takesEffectAfter : { 0ms, 3'000ms, 20'000ms }) {
       INFO(static_cast<int>(mode), " ", takesEffectAfter.count());
       World world({});
       world.mode = mode;
-      const RequestId first = world.SendRequest(Keyed());
+      const RequestId first = world.SendRequest(KeyedRequest());
       world.Run(2500ms);
       CHECK(world.CodeOf(first) == 2103);
       world.mode = TableMode::kUp;
@@ -80,7 +81,7 @@
       if (takesEffectAfter == 3s) {
         world.ApplyLateTransactions();
       }
-      const RequestId second = world.SendRequest(Keyed());
+      const RequestId second = world.SendRequest(KeyedRequest());
       world.Run(10s);
       CHECK(world.CodeOf(second) == 1000);
       world.ApplyLateTransactions();
@@ -93,11 +94,11 @@
   }
 }
 
-TEST_CASE("a claim whose answer was lost is found again")
+TEST_CASE("a request is run if its claim was written but the answer to the write was lost")
 {
   World world({});
   world.mode = TableMode::kAnswerLost;
-  const RequestId request = world.SendRequest(Keyed());
+  const RequestId request = world.SendRequest(KeyedRequest());
   world.Run(100ms);
   world.mode = TableMode::kUp;
   world.Run(3s);
@@ -105,7 +106,7 @@
   CHECK(world.started.size() == 1);
 }
 
-TEST_CASE("a long outage leaves no more than one batch of claims behind")
+TEST_CASE("a long outage of the table leaves at most one batch of claims open")
 {
   World world({});
   world.mode = TableMode::kDown;
@@ -121,7 +122,8 @@
   CHECK(world.DumpOf("router.claims") == "0");
 }
 
-TEST_CASE("a daemon that stops writes its claims, and does not wait for ever for a table")
+TEST_CASE(
+  "a daemon that shuts down writes its claims, and keeps no requests open if the table is down")
 {
   for (const TableMode mode : { TableMode::kUp, TableMode::kDown }) {
     INFO(static_cast<int>(mode));
@@ -129,7 +131,7 @@
     world.serve = [](const Started&) {
       return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
     };
-    const RequestId request = world.SendRequest(Keyed());
+    const RequestId request = world.SendRequest(KeyedRequest());
     world.Run(500ms);
     world.mode = mode;
     world.Apply(0, ShutdownRequested{});
--- a/tests/unit/keep_alive_test.cpp
+++ b/tests/unit/keep_alive_test.cpp
@@ -1,4 +1,5 @@
-/* Keep-alive policies: what is held, what is given back, and what is loaded ahead. */
+/* Keep-alive policies: which idle replicas stay loaded, and which models are loaded ahead of their
+ * next use. */
 #include "decision/scheduler/keep_alive_base.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("idle times fall into the bucket that ends after them")
+TEST_CASE("an idle time is counted in the histogram bucket that contains it")
 {
   for (const Duration idle : { Duration{ 0 },
                                Duration{ 999ms },
@@ -36,66 +37,66 @@
   }
 }
 
-TEST_CASE("which replicas are worth their memory")
+TEST_CASE("which models the policies keep loaded and preload")
 {
-  const std::vector<Duration> often(20, 20s);
+  const std::vector<Duration> frequent(20, 20s);
   const std::vector<Duration> hourly(20, 1h);
-  const std::vector<Duration> seldom(20, 20h);
+  const std::vector<Duration> rare(20, 20h);
   struct Row
   {
     const char* name;
     KeepAlivePolicy policy;
     std::vector<Duration> idleTimes;
     Duration idle;
-    bool isHeld;
+    bool isKept;
     bool isPreloaded;
   };
   const std::vector<Row> rows{
-    { "fixed, before its limit", FixedKeepAlive{ 60s }, often, 59s, true, false },
-    { "fixed, at its limit", FixedKeepAlive{ 60s }, often, 60s, false, false },
-    { "histogram, within the tail", HistogramKeepAlive{}, often, 19s, true, false },
-    { "histogram, after the tail", HistogramKeepAlive{}, often, 40s, false, false },
-    { "histogram, returns too late", HistogramKeepAlive{}, seldom, 6s, false, false },
-    { "histogram, too little seen", HistogramKeepAlive{}, { 1h }, 50s, true, false },
-    { "cost, too little seen", CostAwareKeepAlive{}, { 1h }, 50s, true, false },
-    { "cost, returns soon", CostAwareKeepAlive{}, often, 10s, true, true },
-    { "cost, the return is overdue", CostAwareKeepAlive{}, often, 60s, false, false },
-    { "cost, returns much later", CostAwareKeepAlive{}, hourly, 60s, false, false },
-    { "cost, about to return", CostAwareKeepAlive{ 20 }, hourly, 3'550s, true, true },
-    { "cost, hardly ever used", CostAwareKeepAlive{}, seldom, 10s, false, false },
+    { "fixed, before its limit", FixedKeepAlive{ 60s }, frequent, 59s, true, false },
+    { "fixed, at its limit", FixedKeepAlive{ 60s }, frequent, 60s, false, false },
+    { "histogram, within the tail", HistogramKeepAlive{}, frequent, 19s, true, false },
+    { "histogram, after the tail", HistogramKeepAlive{}, frequent, 40s, false, false },
+    { "histogram, next use too late", HistogramKeepAlive{}, rare, 6s, false, false },
+    { "histogram, too few idle times", HistogramKeepAlive{}, { 1h }, 50s, true, false },
+    { "cost, too few idle times", CostAwareKeepAlive{}, { 1h }, 50s, true, false },
+    { "cost, next use soon", CostAwareKeepAlive{}, frequent, 10s, true, true },
+    { "cost, next use overdue", CostAwareKeepAlive{}, frequent, 60s, false, false },
+    { "cost, next use much later", CostAwareKeepAlive{}, hourly, 60s, false, false },
+    { "cost, next use due", CostAwareKeepAlive{ 20 }, hourly, 3'550s, true, true },
+    { "cost, hardly ever used", CostAwareKeepAlive{}, rare, 10s, false, false },
   };
   const IdleHistogram cell;
   for (const Row& row : rows) {
     CAPTURE(row.name);
     const ModelUsage usage = UsageOf(row.idleTimes);
     const KeepAliveInput input{ usage, cell, 10s, 0.2 };
-    CHECK(ShouldKeepLoaded(row.policy, input, row.idle) == row.isHeld);
+    CHECK(ShouldKeepLoaded(row.policy, input, row.idle) == row.isKept);
     CHECK(ShouldPreload(row.policy, input, row.idle) == row.isPreloaded);
   }
 }
 
-TEST_CASE("a model that is new to a known cell is treated like the others")
+TEST_CASE("a model without idle times is treated like the others of its cell")
 {
   IdleHistogram cell;
   for (int i = 0; i < 50; ++i) {
     cell.Add(20h);
   }
-  const ModelUsage fresh;
-  const KeepAliveInput input{ fresh, cell, 10s, 0.2 };
+  const ModelUsage unused;
+  const KeepAliveInput input{ unused, cell, 10s, 0.2 };
   CHECK_FALSE(ShouldKeepLoaded(CostAwareKeepAlive{}, input, 20s));
 }
 
-TEST_CASE("a higher weight never holds less")
+TEST_CASE("a higher cold start weight never keeps a replica for less time")
 {
   const ModelUsage usage = UsageOf({ 15s, 20s, 40s, 80s, 300s, 900s, 1h, 2h, 15s, 30s });
   const IdleHistogram cell;
   const KeepAliveInput input{ usage, cell, 10s, 0.2 };
   for (Duration idle = 1s; idle < 4h; idle *= 2) {
-    bool wasHeld = false;
+    bool wasKept = false;
     for (const double weight : { 0.1, 1.0, 10.0, 100.0 }) {
-      const bool isHeld = ShouldKeepLoaded(CostAwareKeepAlive{ weight }, input, idle);
-      CHECK((isHeld || !wasHeld));
-      wasHeld = isHeld;
+      const bool isKept = ShouldKeepLoaded(CostAwareKeepAlive{ weight }, input, idle);
+      CHECK((isKept || !wasKept));
+      wasKept = isKept;
     }
   }
 }
--- a/tests/unit/layering_test.cpp
+++ b/tests/unit/layering_test.cpp
@@ -1,4 +1,5 @@
-/* The decision library includes nothing of the other packages, and no I/O. */
+/* Checks the include lines of the decision library: of this project only src/core and src/decision,
+ * no external libraries, and no standard headers for I/O, threads or random numbers. */
 #include <doctest/doctest.h>
 
 #include <array>
@@ -8,15 +9,15 @@
 
 namespace {
 
-/* Returns what is wrong with an include line of the decision library, or an empty text. */
-std::string FaultOf(const std::string& aLine)
+/* Returns what is forbidden in an include line, or an empty text if the line is allowed. */
+std::string ForbiddenPart(const std::string& aLine)
 {
   constexpr std::array kForbidden{ "<thread>",  "<mutex>",      "<fstream>", "<random>",  "<sys/",
                                    "<httplib",  "<nlohmann",    "<yaml-cpp", "<spdlog",   "<urcu",
                                    "<nghttp2/", "<filesystem>", "<atomic>",  "<iostream>" };
-  for (const char* word : kForbidden) {
-    if (aLine.find(word) != std::string::npos) {
-      return word;
+  for (const char* header : kForbidden) {
+    if (aLine.find(header) != std::string::npos) {
+      return header;
     }
   }
   const bool isOwn = aLine.starts_with("#include \"");
@@ -42,7 +43,7 @@
         continue;
       }
       INFO(entry.path().string(), ": ", line);
-      CHECK(FaultOf(line).empty());
+      CHECK(ForbiddenPart(line).empty());
     }
   }
   CHECK(files > 10);
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -1,4 +1,4 @@
-/* The answers of requests and the state of the router under faults of endpoints, runners and
+/* The results of requests and the state of the router under faults of endpoints, runners and cell
  * holders. */
 #include "tests/unit/router_world.h"
 
@@ -9,41 +9,41 @@
 
 namespace {
 
-RequestArrived Once(const char* aKey)
+RequestArrived AtMostOnce(const char* aKey)
 {
   return { .key = IdempotencyKey{ aKey } };
 }
 
 } // namespace
 
-TEST_CASE("every outcome of an attempt ends in one true answer")
+TEST_CASE("each outcome of a first attempt leads to the right result code and number of attempts")
 {
   struct Case
   {
     const char* name;
     AttemptOutcome first;
-    bool isOnce;
+    bool isAtMostOnce;
     int code;
     std::size_t starts;
   };
   using enum AttemptOutcome;
   const std::vector<Case> cases{
     { "completed", kCompleted, false, 1000, 1 },
-    { "completed once", kCompleted, true, 1000, 1 },
+    { "completed, at most once", kCompleted, true, 1000, 1 },
     { "not connected", kNotConnected, false, 1000, 2 },
-    { "not connected once", kNotConnected, true, 1000, 2 },
+    { "not connected, at most once", kNotConnected, true, 1000, 2 },
     { "not run", kNotRun, false, 1000, 2 },
-    { "not run once", kNotRun, true, 1000, 2 },
+    { "not run, at most once", kNotRun, true, 1000, 2 },
     { "cut", kCut, false, 1000, 2 },
-    { "cut once", kCut, true, 3101, 1 },
+    { "cut, at most once", kCut, true, 3101, 1 },
     { "silent", kSilent, false, 1000, 2 },
-    { "silent once", kSilent, true, 3101, 1 },
+    { "silent, at most once", kSilent, true, 3101, 1 },
     { "mismatched", kMismatched, false, 1000, 2 },
-    { "mismatched once", kMismatched, true, 3101, 1 },
+    { "mismatched, at most once", kMismatched, true, 3101, 1 },
     { "rejected", kRejected, false, 3103, 1 },
-    { "rejected once", kRejected, true, 3101, 1 },
+    { "rejected, at most once", kRejected, true, 3101, 1 },
     { "crashed", kCrashed, false, 1000, 2 },
-    { "crashed once", kCrashed, true, 3101, 1 },
+    { "crashed, at most once", kCrashed, true, 3101, 1 },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -52,11 +52,12 @@
       const bool isFirst = aStarted.attempt.attempt.value == 1;
       return std::optional{ Served{ isFirst ? row.first : kCompleted, 10ms } };
     };
-    const RequestId request = world.SendRequest(row.isOnce ? Once("k") : RequestArrived{});
+    const RequestId request =
+      world.SendRequest(row.isAtMostOnce ? AtMostOnce("k") : RequestArrived{});
     world.Run(20s);
     CHECK(world.CodeOf(request) == row.code);
     CHECK(world.CountStarts(request) == row.starts);
-    if (row.isOnce) {
+    if (row.isAtMostOnce) {
       REQUIRE(world.ClaimOf("k") != nullptr);
       CHECK(world.ClaimOf("k")->state ==
             (row.code == 1000 ? ClaimState::kDone : ClaimState::kUnknown));
@@ -64,13 +65,13 @@
   }
 }
 
-TEST_CASE("a late answer of a request given up on at its deadline becomes the stored answer")
+TEST_CASE("an answer that arrives after the deadline of its request becomes the stored answer")
 {
   World world({});
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kCompleted, 6s } };
   };
-  RequestArrived arrived = Once("k");
+  RequestArrived arrived = AtMostOnce("k");
   arrived.timeLeft = 5s;
   arrived.fingerprint = FingerprintId{ "same" };
   const RequestId first = world.SendRequest(arrived);
@@ -87,13 +88,13 @@
   CHECK(world.started.size() == 1);
 }
 
-TEST_CASE("a request whose caller has gone is not started again, and its claim is settled")
+TEST_CASE("a cancelled request is not started again, and its claim is removed if it has not run")
 {
   World world({});
   world.serve = [](const Started&) {
     return std::optional{ Served{ AttemptOutcome::kNotRun, 1s } };
   };
-  const RequestId request = world.SendRequest(Once("k"));
+  const RequestId request = world.SendRequest(AtMostOnce("k"));
   world.Run(500ms);
   CHECK(world.CountStarts(request) == 1);
   world.Apply(0, RequestCancelled{ request });
@@ -102,11 +103,11 @@
   CHECK(world.ClaimOf("k") == nullptr);
 }
 
-TEST_CASE("a full cell refuses those who cannot wait, and not the others")
+TEST_CASE("a full cell refuses requests with too little time left, and no others")
 {
   World world({ .runners = 0 });
-  const RequestId hasty = world.SendRequest({ .timeLeft = 1s });
-  const RequestId patient = world.SendRequest({ .timeLeft = 14s });
+  const RequestId shortDeadline = world.SendRequest({ .timeLeft = 1s });
+  const RequestId longDeadline = world.SendRequest({ .timeLeft = 14s });
   world.Apply(0,
               MessageReceived{ .from = World::IncarnationOf(0),
                                .senderVersion = { 1 },
@@ -118,11 +119,11 @@
                                  .refusal = ResultCode::kReplicaUnavailable,
                                  .refusesBelow = 5s,
                                  .fence = { 1'000 } } });
-  CHECK(world.CodeOf(hasty) == static_cast<int>(ResultCode::kReplicaUnavailable));
-  CHECK(world.CodeOf(patient) == 0);
+  CHECK(world.CodeOf(shortDeadline) == static_cast<int>(ResultCode::kReplicaUnavailable));
+  CHECK(world.CodeOf(longDeadline) == 0);
 }
 
-TEST_CASE("an idle router keeps nothing")
+TEST_CASE("an idle router keeps no requests, targets or endpoints in use")
 {
   World world({ .runners = 2 });
   for (int index = 0; index < 50; ++index) {
@@ -134,27 +135,27 @@
   CHECK(world.DumpOf("router.endpoints_in_use") == "0");
 }
 
-TEST_CASE("refusals that can be retried say when")
+TEST_CASE("refusals that can be retried have a retry-after time")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1;
   } });
   world.serve = [](const Started&) { return std::optional<Served>{}; };
-  const RequestId late = world.SendRequest({ .timeLeft = 1s });
-  const RequestId full = world.SendRequest({});
+  const RequestId expired = world.SendRequest({ .timeLeft = 1s });
+  const RequestId overQueueLimit = world.SendRequest({});
   world.Run(2s);
-  CHECK(world.CodeOf(full) == 2101);
-  CHECK(world.finished.at(full).finish.retryAfter > 0s);
-  CHECK(world.CodeOf(late) == 3103);
-  CHECK(world.finished.at(late).finish.retryAfter > 0s);
+  CHECK(world.CodeOf(overQueueLimit) == 2101);
+  CHECK(world.finished.at(overQueueLimit).finish.retryAfter > 0s);
+  CHECK(world.CodeOf(expired) == 3103);
+  CHECK(world.finished.at(expired).finish.retryAfter > 0s);
 }
 
-TEST_CASE("without a holder a request is refused before its deadline")
+TEST_CASE("a request is refused before its deadline when the cell's holder cannot be reached")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 60s;
   } });
-  world.drop = [](std::size_t, const SendMessage& aMessage) {
+  world.isMessageLost = [](std::size_t, const SendMessage& aMessage) {
     return std::holds_alternative<DemandMessage>(aMessage.message);
   };
   const RequestId first = world.SendRequest({});
@@ -163,13 +164,13 @@
   const RequestId second = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(second) == 2104);
-  world.drop = [](std::size_t, const SendMessage&) { return false; };
+  world.isMessageLost = [](std::size_t, const SendMessage&) { return false; };
   const RequestId third = world.SendRequest({});
   world.Run(2s);
   CHECK(world.CodeOf(third) == 1000);
 }
 
-TEST_CASE("refusals of a runner that lost the model cost innocent requests nothing")
+TEST_CASE("requests that a runner refuses while it lacks the model all succeed later")
 {
   World world({});
   const TimePoint ready = world.now + 5s;
@@ -189,7 +190,7 @@
   CHECK(world.started.size() <= 32 * 8);
 }
 
-TEST_CASE("a long stream keeps its replica")
+TEST_CASE("a replica is not drained during a long request")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 600s;
@@ -201,7 +202,7 @@
   world.SendRequest({});
   world.Run(60s);
   std::size_t drains = 0;
-  for (const SendMessage& message : world.sent) {
+  for (const SendMessage& message : world.sentMessages) {
     drains += std::holds_alternative<DrainMessage>(message.message) ? 1 : 0;
   }
   CHECK(drains == 0);
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -31,9 +31,10 @@
 struct Served
 {
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  Duration after = 10ms;
+  Duration delay = 10ms;
 };
 
+/* An attempt that a daemon has started. */
 struct Started
 {
   std::size_t daemon = 0;
@@ -41,7 +42,8 @@
   StartAttempt attempt;
 };
 
-struct Finished
+/* The result of a request that a daemon has finished. */
+struct FinishedRequest
 {
   TimePoint at;
   FinishRequest finish;
@@ -50,12 +52,15 @@
 struct WorldOptions
 {
   std::size_t daemons = 1;
-  int runners = 1;
+  int runners = 1; ///< Number of endpoints of each of the services "models" and "plain".
   Duration tableLatency = 5ms;
   MechanismSet disabled;
+  /* Changes the default configuration and settings, if set. */
   std::function<void(Configuration&, DecisionSettings&)> configure;
 };
 
+/* A cluster of daemons with the services "models" and "plain", the models "m" and "m2", the classes
+ * "any" and "once" and the customers "big" and "small". */
 class World
 {
 public:
@@ -90,7 +95,7 @@
         .self = IncarnationOf(index), .settings = settings, .disabled = mOptions.disabled }));
       Post(index, {}, ConfigurationLoaded{ { .version = { 1 } }, mConfiguration });
     }
-    ListHosts();
+    SendHostList();
     Run(3s);
   }
 
@@ -99,7 +104,7 @@
     return { DaemonId{ "d" + std::to_string(aDaemon) }, IncarnationId{ "1" } };
   }
 
-  /* Sends a request to a daemon and returns its id. */
+  /* Sends a request to a daemon and returns its id. Empty fields get default values. */
   RequestId SendRequest(RequestArrived aArrived, std::size_t aDaemon = 0)
   {
     aArrived.request = RequestId{ "r" + std::to_string(++mNextRequest) };
@@ -122,22 +127,26 @@
     return aArrived.request;
   }
 
+  /* Advances the time and delivers the events that become due. */
   void Run(Duration aTime)
   {
     constexpr std::size_t kEventLimit = 5'000'000;
     const TimePoint until = now + aTime;
     while (!mEvents.empty() && mEvents.begin()->first <= until) {
-      auto [at, what] = std::move(*mEvents.begin());
+      auto [at, scheduled] = std::move(*mEvents.begin());
       mEvents.erase(mEvents.begin());
       if (++mEventCount > kEventLimit) {
-        throw std::runtime_error("the daemons never come to rest");
+        throw std::runtime_error(
+          "event limit of the simulation exceeded: the daemons keep scheduling events");
       }
       now = std::max(now, at);
-      Apply(what.first, what.second);
+      Apply(scheduled.first, scheduled.second);
     }
     now = until;
   }
 
+  /* Delivers an event to a daemon and carries out the actions that it returns. Does nothing if the
+   * daemon was killed. */
   void Apply(std::size_t aDaemon, const Event& aEvent)
   {
     if (mDaemons[aDaemon] == nullptr) {
@@ -148,15 +157,17 @@
     }
   }
 
-  void Post(std::size_t aDaemon, Duration aAfter, Event aEvent)
+  /* Schedules an event for a daemon. */
+  void Post(std::size_t aDaemon, Duration aDelay, Event aEvent)
   {
-    mEvents.emplace(now + aAfter, std::pair{ aDaemon, std::move(aEvent) });
+    mEvents.emplace(now + aDelay, std::pair{ aDaemon, std::move(aEvent) });
   }
 
+  /* Ends a daemon's process without a shutdown and removes the daemon from the host list. */
   void Kill(std::size_t aDaemon)
   {
     mDaemons[aDaemon] = nullptr;
-    ListHosts();
+    SendHostList();
   }
 
   /* Lets the transactions of TableMode::kLate take effect. */
@@ -167,6 +178,7 @@
     }
   }
 
+  /* Returns the number of attempts of a request. */
   std::size_t CountStarts(const RequestId& aRequest) const
   {
     return static_cast<std::size_t>(
@@ -182,6 +194,7 @@
     return found == finished.end() ? 0 : static_cast<int>(found->second.finish.code);
   }
 
+  /* Returns the value with this path in a daemon's state dump, or an empty text. */
   std::string DumpOf(const std::string& aPath, std::size_t aDaemon = 0) const
   {
     for (const DumpEntry& entry : mDaemons[aDaemon]->Dump()) {
@@ -192,6 +205,7 @@
     return {};
   }
 
+  /* Returns the claim for an idempotency key of the customer "big", or null. */
   const ClaimRow* ClaimOf(const std::string& aKey) const
   {
     const auto found = table.find(ClaimKey(CustomerId{ "big" }, IdempotencyKey{ aKey }));
@@ -202,22 +216,24 @@
 
   TimePoint now{ 1h };
   TableMode mode = TableMode::kUp;
+  /* Returns how the endpoint ends an attempt. */
   std::function<std::optional<Served>(const Started&)> serve = [](const Started&) {
     return std::optional{ Served{} };
   };
-  std::function<bool(std::size_t, const SendMessage&)> drop = [](std::size_t, const SendMessage&) {
-    return false;
-  };
+  /* Returns whether a message that a daemon sends is lost. */
+  std::function<bool(std::size_t, const SendMessage&)> isMessageLost =
+    [](std::size_t, const SendMessage&) { return false; };
   std::vector<Started> started;
-  std::map<RequestId, Finished> finished;
-  std::vector<SendMessage> sent;
+  std::map<RequestId, FinishedRequest> finished;
+  std::vector<SendMessage> sentMessages; ///< Messages between daemons, including lost ones.
   std::map<RowKey, Row> table;
-  std::map<EndpointId, std::set<Artifact>> loaded;
+  std::map<EndpointId, std::set<Artifact>> loadedArtifacts;
   std::size_t transactions = 0; ///< Transactions that write claims.
-  std::size_t rowsWritten = 0;
+  std::size_t rowsWritten = 0;  ///< Rows in these transactions.
 
 private:
-  void ListHosts()
+  /* Sends the current host list to all daemons. */
+  void SendHostList()
   {
     HostListReceived list;
     for (std::size_t index = 0; index < mDaemons.size(); ++index) {
@@ -239,6 +255,7 @@
     }
   }
 
+  /* Applies a transaction to the table if all row versions are as expected. */
   TransactionResult Commit(const TableTransaction& aTransaction)
   {
     TransactionResult result{ .change = aTransaction.change, .rows = {} };
@@ -272,7 +289,7 @@
                           .outcome = served->outcome,
                           .httpStatus = 200,
                           .answer = "answer" };
-      Post(aDaemon, served->after, ended);
+      Post(aDaemon, served->delay, ended);
     }
   }
   void Execute(std::size_t aDaemon, const StopAttempt& aStop)
@@ -285,7 +302,7 @@
   }
   void Execute(std::size_t /*aDaemon*/, const FinishRequest& aFinish)
   {
-    finished.try_emplace(aFinish.request, Finished{ now, aFinish });
+    finished.try_emplace(aFinish.request, FinishedRequest{ now, aFinish });
   }
   void Execute(std::size_t aDaemon, const TableTransaction& aTransaction)
   {
@@ -317,7 +334,7 @@
   }
   void Execute(std::size_t aDaemon, const SendOrder& aOrder)
   {
-    auto& artifacts = loaded[aOrder.runner];
+    auto& artifacts = loadedArtifacts[aOrder.runner];
     if (aOrder.kind == OrderKind::kLoadModel) {
       artifacts.insert(aOrder.artifact);
     } else if (aOrder.kind == OrderKind::kUnloadModel) {
@@ -333,8 +350,8 @@
   }
   void Execute(std::size_t aDaemon, const SendMessage& aMessage)
   {
-    sent.push_back(aMessage);
-    if (drop(aDaemon, aMessage)) {
+    sentMessages.push_back(aMessage);
+    if (isMessageLost(aDaemon, aMessage)) {
       return;
     }
     const std::size_t to = std::stoul(aMessage.to.str().substr(1));
