--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -139,9 +139,9 @@
       mStore,
       { .dump = [this] { return mLoop.Dump(); },
         .metrics = [this] { return mMetrics.ToText(Gauges()); },
-        .accepted = [this](const ConfigurationRow& aRow) { Install(aRow); },
+        .onConfigurationAccepted = [this](const ConfigurationRow& aRow) { Install(aRow); },
         .drain = [this] { mIsDrained = true; },
-        .release =
+        .releaseFromQuarantine =
           [this](FingerprintId aFingerprint) {
             mLoop.Post(QuarantineReleased{ std::move(aFingerprint) });
           } })
--- a/src/decision/scheduler/keep_alive.cpp
+++ b/src/decision/scheduler/keep_alive.cpp
@@ -108,7 +108,7 @@
 
 void IdleHistogram::Add(Duration aIdleTime)
 {
-  ++mReplicaCountPolicies[BucketOf(aIdleTime)];
+  ++mBucketCounts[BucketOf(aIdleTime)];
   ++mTotal;
 }
 
@@ -117,7 +117,7 @@
   const std::uint64_t wantedCount = (std::uint64_t{ mTotal } * aPercentile + 99) / 100;
   std::uint64_t cumulativeCount = 0;
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
-    cumulativeCount += mReplicaCountPolicies[bucket];
+    cumulativeCount += mBucketCounts[bucket];
     if (cumulativeCount >= wantedCount) {
       return UpperEnd(bucket);
     }
--- a/src/decision/scheduler/keep_alive_base.h
+++ b/src/decision/scheduler/keep_alive_base.h
@@ -21,7 +21,7 @@
 
   void Add(Duration aIdleTime);
   std::uint32_t total() const { return mTotal; }
-  std::uint32_t count(std::size_t aBucket) const { return mReplicaCountPolicies[aBucket]; }
+  std::uint32_t count(std::size_t aBucket) const { return mBucketCounts[aBucket]; }
 
   /* Returns the bucket that counts this idle time. */
   static std::size_t BucketOf(Duration aIdleTime);
@@ -32,7 +32,7 @@
   Duration Percentile(std::uint32_t aPercentile) const;
 
 private:
-  std::array<std::uint32_t, kBuckets> mReplicaCountPolicies{};
+  std::array<std::uint32_t, kBuckets> mBucketCounts{};
   std::uint32_t mTotal = 0;
 };
 
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -374,7 +374,7 @@
            aKey.name,
            acceptedRow->version.value,
            acceptedRow->comment.empty() ? "no comment" : acceptedRow->comment);
-  hooks.accepted(*acceptedRow);
+  hooks.onConfigurationAccepted(*acceptedRow);
   Answer(aResponse, ToJson(*acceptedRow));
 }
 
@@ -414,7 +414,7 @@
     AnswerError(aResponse, 404, "no request with this fingerprint is in quarantine");
     return;
   }
-  hooks.release(FingerprintId{ aRequest.body });
+  hooks.releaseFromQuarantine(FingerprintId{ aRequest.body });
   Answer(aResponse, json::object());
 }
 
--- a/src/operator/admin_server.h
+++ b/src/operator/admin_server.h
@@ -31,11 +31,11 @@
   /* Returns the metrics in the Prometheus text format. */
   std::function<std::string()> metrics;
   /* Called after this server has accepted a configuration version. */
-  std::function<void(ConfigurationRow)> accepted;
+  std::function<void(ConfigurationRow)> onConfigurationAccepted;
   /* Shuts the daemon down, which first finishes its open requests within the shutdown limit. */
   std::function<void()> drain;
   /* Releases a request from quarantine on all daemons. */
-  std::function<void(FingerprintId)> release;
+  std::function<void(FingerprintId)> releaseFromQuarantine;
 };
 
 /* Serves the administration API. Requests are answered on the threads of an HTTP server. */
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -53,9 +53,9 @@
                     return std::vector<DumpEntry>{ { "daemon", "d" } };
                   },
                 .metrics = [] { return std::string{ "m 1\n" }; },
-                .accepted = [](const ConfigurationRow&) {},
+                .onConfigurationAccepted = [](const ConfigurationRow&) {},
                 .drain = [this] { ++mDrains; },
-                .release = [](const FingerprintId&) {} })
+                .releaseFromQuarantine = [](const FingerprintId&) {} })
     , mPort(mServer.Start())
   {
   }
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -41,19 +41,19 @@
   for (const Case& row : cases) {
     INFO(row.name);
     World world({ .daemons = 2 });
-    world.serve = [](const Started&) {
-      return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
+    world.endOfAttempt = [](const StartedAttempt&) {
+      return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 2s } };
     };
     world.SendRequest(KeyedRequest());
     world.Run(row.pause);
-    const std::size_t writes = world.transactions;
+    const std::size_t writes = world.claimTransactions;
     if (row.isFirstDaemonKilled) {
       world.Kill(0);
       world.Run(1s);
     }
     const RequestId second = world.SendRequest(KeyedRequest(row.fingerprint), row.daemon);
     if (row.pause == 500ms && row.daemon == 0) {
-      CHECK(world.transactions == writes);
+      CHECK(world.claimTransactions == writes);
     }
     world.Run(1s);
     CHECK(world.CodeOf(second) == row.code);
@@ -128,8 +128,8 @@
   for (const TableMode mode : { TableMode::kUp, TableMode::kDown }) {
     INFO(static_cast<int>(mode));
     World world({});
-    world.serve = [](const Started&) {
-      return std::optional{ Served{ AttemptOutcome::kCompleted, 2s } };
+    world.endOfAttempt = [](const StartedAttempt&) {
+      return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 2s } };
     };
     const RequestId request = world.SendRequest(KeyedRequest());
     world.Run(500ms);
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -50,8 +50,8 @@
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1'000;
     aSettings.queueLimit = 100;
   } });
-  world.serve = [](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kCompleted, 1s } };
+  world.endOfAttempt = [](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 1s } };
   };
   world.SendRequest({}); // Loads the model and gives the router a service time.
   world.Run(3s);
@@ -76,8 +76,8 @@
 TEST_CASE("a request that cannot be answered in time is refused at once with a retry-after time")
 {
   World world({});
-  world.serve = [](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kCompleted, 1s } };
+  world.endOfAttempt = [](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 1s } };
   };
   world.SendRequest({});
   world.Run(3s);
@@ -97,8 +97,8 @@
 {
   World world({});
   Duration time = 10s;
-  world.serve = [&](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kCompleted, time } };
+  world.endOfAttempt = [&](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, time } };
   };
   world.SendRequest({});
   world.Run(15s);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -16,10 +16,10 @@
   explicit CrashingRunners(World& aWorld)
     : world(aWorld)
   {
-    world.serve = [this](const Started& aStarted) { return Serve(aStarted); };
+    world.endOfAttempt = [this](const StartedAttempt& aStarted) { return Serve(aStarted); };
   }
 
-  std::optional<Served> Serve(const Started& aStarted)
+  std::optional<SimulatedEnd> Serve(const StartedAttempt& aStarted)
   {
     const EndpointId runner = aStarted.attempt.endpoint;
     auto& runningRequests = runningByRunner[runner];
@@ -37,15 +37,15 @@
                                  .outcome = AttemptOutcome::kCrashed });
       }
       runningRequests.clear();
-      return Served{ AttemptOutcome::kCrashed, 50ms };
+      return SimulatedEnd{ AttemptOutcome::kCrashed, 50ms };
     }
     runningRequests.emplace_back(aStarted, world.now + duration);
-    return Served{ AttemptOutcome::kCompleted, duration };
+    return SimulatedEnd{ AttemptOutcome::kCompleted, duration };
   }
 
   World& world;
   std::set<RequestId> crashingRequests;
-  std::map<EndpointId, std::vector<std::pair<Started, TimePoint>>> runningByRunner;
+  std::map<EndpointId, std::vector<std::pair<StartedAttempt, TimePoint>>> runningByRunner;
   int crashes = 0;
   /* Largest number of other requests that were in flight at a runner when it crashed. */
   std::size_t maxRequestsBesideCrash = 0;
@@ -119,12 +119,12 @@
 TEST_CASE("an isolated runner is released when the daemon of its suspect fails")
 {
   World world({ .daemons = 3 });
-  world.serve = [&](const Started& aStarted) {
+  world.endOfAttempt = [&](const StartedAttempt& aStarted) {
     const bool isSuspect = aStarted.attempt.request == RequestId{ "r1" };
     const bool isFirst = aStarted.attempt.attempt.value == 1;
-    return isSuspect
-             ? (isFirst ? std::optional{ Served{ AttemptOutcome::kCrashed, 1ms } } : std::nullopt)
-             : std::optional{ Served{} };
+    return isSuspect ? (isFirst ? std::optional{ SimulatedEnd{ AttemptOutcome::kCrashed, 1ms } }
+                                : std::nullopt)
+                     : std::optional{ SimulatedEnd{} };
   };
   // Daemon 2 fails if daemon 0 holds the cell, otherwise daemon 1.
   const std::size_t holder = world.DumpOf("cells.models.held", 0) == "yes" ? 0 : 1;
@@ -143,7 +143,7 @@
 TEST_CASE("a release from quarantine by an operator does not refuse waiting requests")
 {
   World world({ .daemons = 2 });
-  world.serve = [](const Started&) { return std::optional<Served>{}; };
+  world.endOfAttempt = [](const StartedAttempt&) { return std::optional<SimulatedEnd>{}; };
   const RequestArrived arrived{ .timeLeft = 20s, .fingerprint = FingerprintId{ "f" } };
   std::vector<RequestId> requests;
   for (int index = 0; index < 40; ++index) {
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -48,9 +48,9 @@
   for (const Case& row : cases) {
     INFO(row.name);
     World world({ .runners = 2 });
-    world.serve = [&](const Started& aStarted) {
+    world.endOfAttempt = [&](const StartedAttempt& aStarted) {
       const bool isFirst = aStarted.attempt.attempt.value == 1;
-      return std::optional{ Served{ isFirst ? row.first : kCompleted, 10ms } };
+      return std::optional{ SimulatedEnd{ isFirst ? row.first : kCompleted, 10ms } };
     };
     const RequestId request =
       world.SendRequest(row.isAtMostOnce ? AtMostOnce("k") : RequestArrived{});
@@ -68,8 +68,8 @@
 TEST_CASE("an answer that arrives after the deadline of its request becomes the stored answer")
 {
   World world({});
-  world.serve = [](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kCompleted, 6s } };
+  world.endOfAttempt = [](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 6s } };
   };
   RequestArrived arrived = AtMostOnce("k");
   arrived.timeLeft = 5s;
@@ -91,8 +91,8 @@
 TEST_CASE("a cancelled request is not started again, and its claim is removed if it has not run")
 {
   World world({});
-  world.serve = [](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kNotRun, 1s } };
+  world.endOfAttempt = [](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kNotRun, 1s } };
   };
   const RequestId request = world.SendRequest(AtMostOnce("k"));
   world.Run(500ms);
@@ -140,7 +140,7 @@
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
     aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 1;
   } });
-  world.serve = [](const Started&) { return std::optional<Served>{}; };
+  world.endOfAttempt = [](const StartedAttempt&) { return std::optional<SimulatedEnd>{}; };
   const RequestId expired = world.SendRequest({ .timeLeft = 1s });
   const RequestId overQueueLimit = world.SendRequest({});
   world.Run(2s);
@@ -174,10 +174,10 @@
 {
   World world({});
   const TimePoint ready = world.now + 5s;
-  world.serve = [&](const Started&) {
+  world.endOfAttempt = [&](const StartedAttempt&) {
     const bool isLoaded = world.now >= ready;
-    return std::optional{ Served{ isLoaded ? AttemptOutcome::kCompleted : AttemptOutcome::kNotRun,
-                                  1ms } };
+    return std::optional{ SimulatedEnd{
+      isLoaded ? AttemptOutcome::kCompleted : AttemptOutcome::kNotRun, 1ms } };
   };
   std::vector<RequestId> requests;
   for (int index = 0; index < 32; ++index) {
@@ -196,8 +196,8 @@
     aConfiguration.classes.at(ClassId{ "any" }).deadline = 600s;
     aConfiguration.services.at(ServiceId{ "models" }).keepAlive = FixedKeepAlive{ 15s };
   } });
-  world.serve = [](const Started&) {
-    return std::optional{ Served{ AttemptOutcome::kCompleted, 90s } };
+  world.endOfAttempt = [](const StartedAttempt&) {
+    return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted, 90s } };
   };
   world.SendRequest({});
   world.Run(60s);
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -26,16 +26,16 @@
   kLate,       ///< The outcome is unknown. Writes take effect with ApplyLateTransactions().
 };
 
-/* How an endpoint ends an attempt. World::serve returns no value for an attempt that does not end
- * by itself. */
-struct Served
+/* How an endpoint ends an attempt. World::endOfAttempt returns no value for an attempt that does
+ * not end by itself. */
+struct SimulatedEnd
 {
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
   Duration delay = 10ms;
 };
 
 /* An attempt that a daemon has started. */
-struct Started
+struct StartedAttempt
 {
   std::size_t daemon = 0;
   TimePoint at;
@@ -182,7 +182,7 @@
   std::size_t CountStarts(const RequestId& aRequest) const
   {
     return static_cast<std::size_t>(
-      std::count_if(started.begin(), started.end(), [&](const Started& aStarted) {
+      std::count_if(started.begin(), started.end(), [&](const StartedAttempt& aStarted) {
         return aStarted.attempt.request == aRequest;
       }));
   }
@@ -217,19 +217,18 @@
   TimePoint now{ 1h };
   TableMode mode = TableMode::kUp;
   /* Returns how the endpoint ends an attempt. */
-  std::function<std::optional<Served>(const Started&)> serve = [](const Started&) {
-    return std::optional{ Served{} };
-  };
+  std::function<std::optional<SimulatedEnd>(const StartedAttempt&)> endOfAttempt =
+    [](const StartedAttempt&) { return std::optional{ SimulatedEnd{} }; };
   /* Returns whether a message that a daemon sends is lost. */
   std::function<bool(std::size_t, const SendMessage&)> isMessageLost =
     [](std::size_t, const SendMessage&) { return false; };
-  std::vector<Started> started;
+  std::vector<StartedAttempt> started;
   std::map<RequestId, FinishedRequest> finished;
   std::vector<SendMessage> sentMessages; ///< Messages between daemons, including lost ones.
   std::map<RowKey, Row> table;
   std::map<EndpointId, std::set<Artifact>> loadedArtifacts;
-  std::size_t transactions = 0; ///< Transactions that write claims.
-  std::size_t rowsWritten = 0;  ///< Rows in these transactions.
+  std::size_t claimTransactions = 0; ///< Transactions that write claims.
+  std::size_t claimRowsWritten = 0;  ///< Rows in these transactions.
 
 private:
   /* Sends the current host list to all daemons. */
@@ -283,7 +282,7 @@
   void Execute(std::size_t aDaemon, const StartAttempt& aStart)
   {
     started.push_back({ aDaemon, now, aStart });
-    if (const auto served = serve(started.back())) {
+    if (const auto served = endOfAttempt(started.back())) {
       AttemptEnded ended{ .request = aStart.request,
                           .attempt = aStart.attempt,
                           .outcome = served->outcome,
@@ -308,8 +307,8 @@
   {
     if (!aTransaction.writes.empty() &&
         aTransaction.writes.front().key.str().starts_with("claim/")) {
-      ++transactions;
-      rowsWritten += aTransaction.writes.size();
+      ++claimTransactions;
+      claimRowsWritten += aTransaction.writes.size();
     }
     TransactionResult result{ .change = aTransaction.change,
                               .outcome = TransactionOutcome::kUnknown };
--- a/tools/router_bench.cpp
+++ b/tools/router_bench.cpp
@@ -44,15 +44,15 @@
     for (int index = 0; index < count; ++index) {
       world.Run(Duration{ static_cast<std::int64_t>(gap(random) * 1e6) });
       const TimePoint at = world.now;
-      asked[world.Ask({ .service = ServiceId{ "plain" },
-                        .key = IdempotencyKey{ "k" + std::to_string(index) } })] = at;
+      asked[world.SendRequest({ .service = ServiceId{ "plain" },
+                                .key = IdempotencyKey{ "k" + std::to_string(index) } })] = at;
     }
     world.Run(10s);
     const auto latencies = LatenciesOf(world, asked);
     std::printf("%8d  %18.2f  %10.2f  %6.1f  %6.1f  (%zu of %d answered)\n",
                 rate,
-                static_cast<double>(world.transactions) / count,
-                static_cast<double>(world.rowsWritten) / count,
+                static_cast<double>(world.claimTransactions) / count,
+                static_cast<double>(world.claimRowsWritten) / count,
                 Percentile(latencies, 0.5),
                 Percentile(latencies, 0.99),
                 latencies.size(),
@@ -70,15 +70,16 @@
       World world({ .runners = 4, .disabled = disabled });
       std::mt19937_64 random(kSeed);
       std::uniform_int_distribution<int> dice(0, 99);
-      world.serve = [&](const Started&) {
+      world.endOfAttempt = [&](const StartedAttempt&) {
         const bool fails = dice(random) < percent;
-        return std::optional{ Served{ fails ? AttemptOutcome::kCut : AttemptOutcome::kCompleted } };
+        return std::optional{ SimulatedEnd{ fails ? AttemptOutcome::kCut
+                                                  : AttemptOutcome::kCompleted } };
       };
       constexpr int kRequests = 2'000;
       std::map<RequestId, TimePoint> asked;
       for (int index = 0; index < kRequests; ++index) {
         const TimePoint at = world.now;
-        asked[world.Ask({ .service = ServiceId{ "plain" } })] = at;
+        asked[world.SendRequest({ .service = ServiceId{ "plain" } })] = at;
         world.Run(10ms);
       }
       world.Run(40s);
@@ -103,9 +104,9 @@
     std::mt19937_64 random(kSeed);
     std::mt19937_64 service(kSeed + 1);
     std::gamma_distribution<double> time(4.0, 25'000.0);
-    world.serve = [&](const Started&) {
-      return std::optional{ Served{ AttemptOutcome::kCompleted,
-                                    Duration{ static_cast<std::int64_t>(time(service)) } } };
+    world.endOfAttempt = [&](const StartedAttempt&) {
+      return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted,
+                                          Duration{ static_cast<std::int64_t>(time(service)) } } };
     };
     std::exponential_distribution<double> gap(8.0 + (hasLarge ? 1'600.0 : 0.0));
     std::uniform_real_distribution<double> share(0.0, 8.0 + (hasLarge ? 1'600.0 : 0.0));
@@ -116,7 +117,8 @@
       world.Run(Duration{ static_cast<std::int64_t>(gap(random) * 1e6) });
       const bool isSmall = share(random) < 8.0;
       const TimePoint at = world.now;
-      const RequestId request = world.Ask({ .customer = CustomerId{ isSmall ? "small" : "big" } });
+      const RequestId request =
+        world.SendRequest({ .customer = CustomerId{ isSmall ? "small" : "big" } });
       (isSmall ? small : large)[request] = at;
     }
     world.Run(60s);
