--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-/* Turns actions into I/O and I/O into events. */
+/* Executes the actions of the decision library and posts the results to it as events. */
 #include "daemon/daemon.h"
 
 #include "caller/caller_server.h"
@@ -32,9 +32,10 @@
 
 /* Threads for calls to the table service. */
 constexpr std::size_t kTableThreads = 4;
-/* Threads that stop attempts; stopping can wait for a connect. */
+/* Threads that stop attempts. Stopping an attempt can block until its connect has ended. */
 constexpr std::size_t kStopThreads = 2;
-/* Share of the order threads that one runner may keep busy. */
+/* Divides the number of order threads into the number that one runner may use, which is at least 1.
+ * With two or more threads, a slow runner thus leaves some for orders to other runners. */
 constexpr std::size_t kOrderShare = 4;
 
 class Daemon
@@ -42,9 +43,11 @@
 public:
   Daemon(Settings aSettings, std::vector<OperatorKey> aKeys);
 
-  /* Binds all ports and starts; false when a port cannot be bound. */
+  /* Binds all ports and starts the threads. Returns false if a port cannot be bound. */
   bool Start();
-  /* Waits for a signal or a drain, then finishes what is open; returns the exit code. */
+  /* Waits for SIGTERM, SIGINT or a drain request of an operator, then shuts down. Open requests may
+   * finish within the shutdown limit. Returns the exit code, or ends the process with
+   * kExitRequestsLeft when the limit has passed. */
   int WaitAndStop();
 
 private:
@@ -57,7 +60,7 @@
   void Do(SendOrder aAction);
   void Follow(SendOrder aOrder);
   void Do(SendMessage aAction);
-  void Do(const WakeAt& /*aAction*/) {}
+  void Do(const WakeAt& /*aAction*/) {} // DecisionLoop handles it.
   void Do(const PublishConfiguration& aAction);
   void Do(const PublishReadiness& aAction);
   void Do(const ShutdownComplete& /*aAction*/) { mIsComplete = true; }
@@ -74,9 +77,9 @@
   TableClient mTable;
   ConfigurationStore mStore;
   RcuPointer<Snapshot> mSnapshot;
-  Snapshot mNextSnapshot; ///< Used by the decision thread only.
-  std::atomic<std::uint64_t> mVersion{ 0 };
-  std::atomic<std::uint64_t> mNewestRead{ 0 }; ///< Newest version whose document was read.
+  Snapshot mNextSnapshot; ///< Used only while an action is executed, so by one thread at a time.
+  std::atomic<std::uint64_t> mVersion{ 0 };    ///< Version of the configuration in force.
+  std::atomic<std::uint64_t> mNewestRead{ 0 }; ///< Newest version that was or is being parsed.
   SessionMap mSessions;
   Metrics mMetrics;
   WorkerPool mTablePool;
@@ -92,7 +95,7 @@
   std::condition_variable mStopChanged;
   std::atomic<bool> mIsStopping{ false };
   std::atomic<bool> mIsComplete{ false };
-  std::atomic<bool> mIsDrained{ false };
+  std::atomic<bool> mIsDrained{ false }; ///< An operator requested a drain.
 };
 
 NodeOptions MakeNodeOptions(const Settings& aSettings, const Incarnation& aSelf)
@@ -154,7 +157,8 @@
   const std::uint16_t admin = mAdmin.Start();
   const std::uint16_t caller = mCallers.Start();
   if (peer == 0 || admin == 0 || caller == 0) {
-    Log(log_part::kDaemon)->error("A port cannot be bound.");
+    Log(log_part::kDaemon)
+      ->error("A port for callers, operators or other daemons cannot be bound. The daemon exits.");
     return false;
   }
   WriteAddresses(caller, admin, peer);
@@ -162,7 +166,7 @@
   mLoop.Post(Wake{});
   mHostThread = std::thread([this] { PollHosts(); });
   Log(log_part::kDaemon)
-    ->info("Daemon {} serves callers on {}, operators on {}, daemons on {}.",
+    ->info("Daemon {} listens on port {} for callers, {} for operators and {} for other daemons.",
            mSettings.daemonId,
            caller,
            admin,
@@ -198,7 +202,8 @@
   }
 }
 
-/* Endpoints that the configuration drains are treated as if the list said that they leave. */
+/* Marks endpoints that the configuration drains, unless the host list reports them as leaving. The
+ * decision library treats both in the same way, but a drain can be taken back. */
 void Daemon::MarkDrained(HostListReceived& aList) const
 {
   mSnapshot.Read([&](const Snapshot& aSnapshot) {
@@ -222,13 +227,15 @@
   const timespec poll{ .tv_sec = 0, .tv_nsec = 100'000'000 };
   while (!mIsDrained && sigtimedwait(&signals, nullptr, &poll) < 0) {
   }
-  Log(log_part::kDaemon)->info("Stopping: finishing {} open requests.", mSessions.size());
+  Log(log_part::kDaemon)->info("Shutting down. Waiting for {} open requests.", mSessions.size());
   mLoop.Post(ShutdownRequested{});
   const TimePoint end = DaemonNow() + mSettings.shutdownLimit;
   while (!mIsComplete || mSessions.size() > 0) {
     if (DaemonNow() >= end) {
-      Log(log_part::kDaemon)->error("Gave {} open requests up.", mSessions.size());
-      // Threads may wait for callers that never read, so they are not joined.
+      Log(log_part::kDaemon)
+        ->error("The shutdown limit has passed. Exiting with {} open requests.", mSessions.size());
+      // The threads are not joined, because some may be blocked by callers that do not read their
+      // answers.
       std::_Exit(kExitRequestsLeft);
     }
     std::this_thread::sleep_for(std::chrono::milliseconds{ 20 });
@@ -271,7 +278,7 @@
   }
   const TimePoint end = DaemonNow() + aAction.timeLeft;
   mAttemptPool.Submit([this, session, end, start = std::move(aAction)]() mutable {
-    // All threads may have been busy for a while.
+    // The job may have waited until one of the threads was free.
     start.timeLeft = end - DaemonNow();
     if (start.timeLeft <= Duration{ 0 }) {
       mLoop.Post(AttemptEnded{ .request = start.request,
@@ -349,8 +356,8 @@
     std::move(runner));
 }
 
-/* Asks about a running order until it ends. Each question is a job of its own, so that long
- * loads leave threads to other orders. */
+/* Polls the runner until an accepted order has ended or a poll fails, then posts the result. Each
+ * poll is a separate job, so that long loads do not keep threads from other orders. */
 void Daemon::Follow(SendOrder aOrder)
 {
   std::string runner = aOrder.runner.str();
@@ -409,7 +416,7 @@
       mNextSnapshot.customersByKeyHash.emplace(hash, id);
     }
   }
-  Log(log_part::kConfiguration)->info("Version {} is in force.", mVersion.load());
+  Log(log_part::kConfiguration)->info("Configuration version {} is in force.", mVersion.load());
   PublishSnapshot();
 }
 
@@ -427,7 +434,7 @@
 
 void Daemon::Install(const ConfigurationRow& aRow)
 {
-  // Several peers may send the same version at once; it is read once.
+  // Several daemons may send the same version at the same time. It is parsed only once.
   std::uint64_t newest = mNewestRead;
   do {
     if (aRow.version.value <= newest) {
@@ -437,7 +444,9 @@
   auto parsed = ParseConfiguration(aRow.document, aRow.version);
   if (!parsed) {
     Log(log_part::kConfiguration)
-      ->error("Version {} cannot be read: {}.", aRow.version.value, parsed.error()[0].reason);
+      ->error("Configuration version {} cannot be parsed and is ignored: {}.",
+              aRow.version.value,
+              parsed.error()[0].reason);
     return;
   }
   mLoop.Post(ConfigurationLoaded{
@@ -448,7 +457,8 @@
 
 int RunDaemon(const Settings& aSettings)
 {
-  // Signals are taken by the waiting thread only; all others inherit the mask.
+  // Only WaitAndStop() takes these signals. They are blocked before any other thread is started,
+  // because threads inherit the signal mask.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -461,7 +471,8 @@
   if (!aSettings.operatorKeys.empty()) {
     auto loaded = LoadOperatorKeys(aSettings.operatorKeys);
     if (!loaded) {
-      Log(log_part::kOperator)->error("{}.", loaded.error());
+      Log(log_part::kOperator)
+        ->error("The operator keys cannot be loaded: {}. The daemon exits.", loaded.error());
       return kExitBadInput;
     }
     keys = std::move(*loaded);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,5 @@
-/* One daemon: the decisions, joined to callers, endpoints, the platform, operators and peers. */
+/* The daemon of the `serve` command. It connects the decision library with callers, endpoints, the
+ * platform's services, operators and other daemons. */
 #ifndef RHUBARBTRAIL_DAEMON_DAEMON_H
 #define RHUBARBTRAIL_DAEMON_DAEMON_H
 
@@ -6,7 +7,7 @@
 
 namespace rhubarbtrail {
 
-/* Runs a daemon until it is told to stop; returns the exit code of the process. */
+/* Runs a daemon until a signal or an operator stops it. Returns the exit code of the process. */
 int RunDaemon(const Settings& aSettings);
 
 } // namespace rhubarbtrail
--- a/src/daemon/decision_loop.cpp
+++ b/src/daemon/decision_loop.cpp
@@ -1,4 +1,4 @@
-/* Combines the events of many threads into one sequence. */
+/* Applies events from many threads to the decision library, one at a time. */
 #include "daemon/decision_loop.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-/* Longest sleep of the thread; a later wish to be woken is looked at again then. */
+/* Longest sleep of the separate thread. If no wake event is due afterwards, it sleeps again. */
 constexpr Duration kLongestSleep = 60s;
-/* Events that a thread which came with its own applies before it leaves the rest to the loop's. */
+/* Limit on the events that a thread applies in one Post(). The separate thread applies the rest. */
 constexpr std::size_t kCombinedLimit = 32;
 
 } // namespace
@@ -112,7 +112,8 @@
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     if (!IsDue()) {
-      // While another thread applies, it tells when it has finished.
+      // A thread that applies events notifies this one when it stops, if events are left or if the
+      // next wake event is due before this thread wakes up.
       const TimePoint next = mIsApplying ? TimePoint::max() : mWake;
       mSleepsUntil = std::min(next, DaemonNow() + kLongestSleep);
       mChanged.wait_until(lock,
--- a/src/daemon/decision_loop.h
+++ b/src/daemon/decision_loop.h
@@ -1,4 +1,4 @@
-/* Applies events to the decisions, one at a time, on whichever thread brings them. */
+/* Applies events from many threads to the decision library, one at a time. */
 #ifndef RHUBARBTRAIL_DAEMON_DECISION_LOOP_H
 #define RHUBARBTRAIL_DAEMON_DECISION_LOOP_H
 
@@ -13,27 +13,31 @@
 
 namespace rhubarbtrail {
 
-/* A thread that posts an event while nobody applies any applies it itself, and all that are posted
- * meanwhile, so that a request is not handed from thread to thread. A thread of the loop's own
- * applies wakes, and takes over from a thread that has applied many events. */
+/* Applies events in the order in which they are posted. If no thread is applying events, the thread
+ * that posts one applies the queued events itself, so that a request need not switch threads. It
+ * includes the events that other threads post in the meantime, up to a limit. A separate thread
+ * applies the rest, and the wake events that the node requests. */
 class DecisionLoop
 {
 public:
-  /* The performer carries one action out, on the thread that applies; it must not block. */
+  /* aPerform executes one action, on the thread that applies the event. It must not block, because
+   * no other event is applied in the meantime. */
   DecisionLoop(NodeOptions aOptions, std::function<void(Action)> aPerform);
   ~DecisionLoop();
   DecisionLoop(const DecisionLoop&) = delete;
   DecisionLoop& operator=(const DecisionLoop&) = delete;
 
-  /* Events posted earlier are kept until then. */
+  /* Starts the separate thread. Events posted before are queued until then. */
   void Start();
-  /* Returns when no event is being applied; later ones are dropped. */
+  /* Stops the separate thread and waits until no event is being applied. Events that are still
+   * queued, or are posted later, are never applied. */
   void Stop();
 
-  /* Applies an event, or leaves it to the thread that is applying; safe from any thread. */
+  /* Queues an event, and applies the queued events unless another thread is doing so. May be called
+   * on any thread. */
   void Post(Event aEvent);
 
-  /* Describes the state; safe from any thread. */
+  /* Returns the state of the node for operators. May be called on any thread. */
   std::vector<DumpEntry> Dump();
 
 private:
@@ -43,20 +47,21 @@
   void Apply(const Event& aEvent);
 
   std::function<void(Action)> mPerform;
-  std::mutex mNodeMutex; ///< Held while the node is used.
+  std::mutex mNodeMutex; ///< Guards mNode.
   Node mNode;
   std::mutex mMutex; ///< Guards all members below.
   std::condition_variable mChanged;
   std::deque<Event> mEvents;
   bool mIsStarted = false;
   bool mIsStopping = false;
-  bool mIsApplying = false; ///< Some thread applies events; the others only queue theirs.
-  TimePoint mWake{};
-  TimePoint mSleepsUntil{}; ///< When the loop's own thread looks again by itself.
+  bool mIsApplying = false; ///< A thread is applying events. Others only queue theirs.
+  TimePoint mWake{};        ///< When the next wake event is due.
+  TimePoint mSleepsUntil{}; ///< When the separate thread wakes up without a notification.
   std::thread mThread;
 };
 
-/* Returns the time of this daemon's clock. */
+/* Returns the current time of this daemon's clock, which stands still while the host is
+ * suspended. */
 TimePoint DaemonNow();
 
 } // namespace rhubarbtrail
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -1,4 +1,5 @@
-/* The daemon on the users' platform: one event loop between clients and endpoints. */
+/* The daemon on the users' platform. It forwards clients' requests to endpoints, takes part in the
+ * fleet and serves the readiness check and the metrics, all on one event loop in one thread. */
 #include "daemon/edge_daemon.h"
 
 #include "core/boot_clock.h"
@@ -28,30 +29,37 @@
 
 namespace asio = boost::asio;
 
-/* Time between two writes of collected log lines. */
+/* Time between two flushes of the log, which also collect the metrics. */
 constexpr Duration kFlushInterval = 100ms;
-/* Time for which a stopping daemon still takes new connections: the balancer asks once a second
- * and needs two answers. */
+/* Time after the stop signal for which new requests are still accepted. The readiness check fails
+ * from the signal on. The balancer makes it once per second and needs two failures before it sends
+ * no more connections. */
 constexpr Duration kFarewellTime = 2'500ms;
-/* Taken off the grace time, so that the process ends by itself. */
+/* Time before the end of the grace period at which the process exits even if requests are open.
+ * This way it exits by itself before it is killed. */
 constexpr Duration kGraceMargin = 700ms;
-/* Time before the end of the grace time at which requests that still wait are sent on. */
+/* Time before the end of the grace period at which requests that are not in flight at an endpoint
+ * are ended, so that their clients can send them to another daemon. */
 constexpr Duration kHandOnTime = 2'500ms;
+/* Time between two checks whether a stopping daemon can exit. */
 constexpr Duration kStopCheckInterval = 50ms;
-/* Time between two lines about the daemon's state. */
+/* Time between two "status" log lines. */
 constexpr Duration kStatusInterval = 10s;
-/* Time between two looks for runners whose entries have not come back. */
+/* Time between two checks for runners whose missing entries now count as removed. After an outage
+ * of the store, a missing entry does so only once a grace period is over. */
 constexpr Duration kSweepInterval = 250ms;
-/* Part of the drain limit after which the runners' table is read again by a daemon that gives no
- * orders; the rest is for the way to the store and back. */
+/* Minimum time between two watches of the runner table on a daemon that is not the dispatcher, as
+ * a share of the drain limit. The rest of the limit is left for the call to the store. */
 constexpr double kRunnerIntervalPart = 0.6;
-/* The same time for the daemon that gives the orders. */
+/* Minimum time between two watches of the runner table on the dispatcher. */
 constexpr Duration kHolderRunnerInterval = 300ms;
-/* Descriptors left for files, the store, other daemons and listeners. */
+/* Minimum of the limit on client connections. With more descriptors the limit is half of them, and
+ * the other half is left for endpoints, the store, other daemons, files and listeners. */
 constexpr std::size_t kReservedDescriptors = 264;
 
-/* Returns how long a host leaves the lease to better equipped ones: the dispatcher of a large fleet
- * needs about a third of a core. */
+/* Returns the extra time that a host waits before it takes the order lease. A host with less than
+ * a quarter of a core waits, so that better equipped hosts can take the lease first: the dispatcher
+ * of a large fleet needs about a third of a core. */
 Duration HeadStart(double aCpuShare)
 {
   constexpr double kEnoughCores = 0.25;
@@ -59,7 +67,8 @@
   return aCpuShare >= kEnoughCores ? Duration::zero() : kModestWait;
 }
 
-/* Returns the names of the models that a runner holds, for logs. */
+/* Returns the loaded models of a runner for logs: their names, separated by commas. "+" and a
+ * number follow the name of a model with loaded adapters. */
 std::string NamesOf(const std::map<ModelId, std::set<AdapterId>>& aModels)
 {
   std::string names;
@@ -193,7 +202,8 @@
     mLoop.run();
     mLog.Flush();
     if (!mGateway.openRequests.empty()) {
-      // Their handlers refer to each other and to this object; the kernel closes their connections.
+      // The handlers of open requests refer to each other and to this object, so nothing is
+      // destroyed. The kernel closes the connections.
       std::_Exit(mExitCode);
     }
     return mExitCode;
@@ -212,6 +222,7 @@
     return std::chrono::duration_cast<Duration>(mSettings.edge.drainLimit * kRunnerIntervalPart);
   }
 
+  /* Passes on the settings that a reload can change and that other parts keep a copy of. */
   void ApplySettings()
   {
     mGateway.retries.SetOptions({ .ratio = mSettings.decision.retryBudgetRatio,
@@ -231,7 +242,8 @@
     }
   }
 
-  /* Writes what an on-call engineer looks at first; counts are since the start. */
+  /* Logs the figures that an on-call engineer looks at first. The counts of calls to the store and
+   * of log lines left out are since the start. */
   void NoteStatus()
   {
     const auto& store = mStore.counts();
@@ -260,7 +272,8 @@
     });
   }
 
-  /* Takes runners out whose entries have been gone for long enough. */
+  /* Schedules a check that removes runners from the dispatcher when their missing entries count as
+   * removed, and that adapts the watch interval of the runner table to this daemon's role. */
   void SweepRunnersLater()
   {
     mSweepTimer.expires_after(kSweepInterval);
@@ -415,7 +428,7 @@
     aResponder.Send({ .status = kNotFound, .reason = "Not Found" }, "");
   }
 
-  /* Returns the state of this daemon, for people. */
+  /* Returns the state of this daemon as JSON, for operators. */
   std::string DescribeState() const
   {
     const TimePoint now = BootTime();
@@ -515,6 +528,8 @@
     });
   }
 
+  /* Reads the settings file again. Addresses and other values that are used only at the start
+   * change nothing until a restart. An invalid file is rejected as a whole. */
   void Reload()
   {
     auto settings = LoadSettings(mSettingsFile, SettingsUse::kEdge);
@@ -547,7 +562,8 @@
   {
     const Duration passed = BootTime() - mStoppedAt;
     if (passed >= kFarewellTime && !std::exchange(mGateway.isLeaving, true)) {
-      // The balancer sends nobody here any more; who still holds a connection is sent on.
+      // The balancer sends no more connections here. Idle connections are closed, and requests that
+      // arrive on others are refused with a retry time, so that clients use another daemon.
       mFront.CloseIdle();
     }
     if (passed >= mSettings.edge.shutdownGrace - kHandOnTime) {
@@ -555,7 +571,8 @@
     }
     const bool isQuiet =
       passed >= kFarewellTime && mGateway.openRequests.empty() && mFront.IsQuiet();
-    // Twice in a row: the last bytes of an answer may still be on their way out.
+    // The server must be quiet at two checks in a row, because the last bytes of an answer may
+    // still be in transit at the first one.
     const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
     const bool isIdle = isQuiet && wasQuiet;
     const bool isLate = passed >= mSettings.edge.shutdownGrace - kGraceMargin;
--- a/src/daemon/edge_daemon.h
+++ b/src/daemon/edge_daemon.h
@@ -1,4 +1,4 @@
-/* The daemon on the users' platform: one event loop between clients and endpoints. */
+/* The daemon on the users' platform: forwards clients' requests to endpoints. */
 #ifndef RHUBARBTRAIL_DAEMON_EDGE_DAEMON_H
 #define RHUBARBTRAIL_DAEMON_EDGE_DAEMON_H
 
@@ -8,7 +8,8 @@
 
 namespace rhubarbtrail {
 
-/* Runs until SIGTERM; returns the exit code. The file is read again on SIGHUP. */
+/* Runs the daemon until SIGTERM or SIGINT and the shutdown after it, and returns the exit code of
+ * the process. SIGHUP reloads the settings from the given file. */
 int RunEdgeDaemon(const Settings& aSettings, const std::string& aSettingsFile);
 
 } // namespace rhubarbtrail
