--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -33,10 +33,10 @@
 /* Threads for calls to the table service. */
 constexpr std::size_t kTableThreads = 4;
 /* Threads that stop attempts. Stopping an attempt can block until its connect has ended. */
-constexpr std::size_t kStopThreads = 2;
+constexpr std::size_t kStopAttemptThreads = 2;
 /* Divides the number of order threads into the number that one runner may use, which is at least 1.
  * With two or more threads, a slow runner thus leaves some for orders to other runners. */
-constexpr std::size_t kOrderShare = 4;
+constexpr std::size_t kOrderThreadsDivisor = 4;
 
 class Daemon
 {
@@ -51,51 +51,53 @@
   int WaitAndStop();
 
 private:
-  void Perform(Action aAction);
-  void Do(StartAttempt aAction);
-  void Do(const StopAttempt& aAction);
-  void Do(FinishRequest aAction);
-  void Do(TableTransaction aAction);
-  void Do(TableRead aAction);
-  void Do(SendOrder aAction);
-  void Follow(SendOrder aOrder);
-  void Do(SendMessage aAction);
-  void Do(const WakeAt& /*aAction*/) {} // DecisionLoop handles it.
-  void Do(const PublishConfiguration& aAction);
-  void Do(const PublishReadiness& aAction);
-  void Do(const ShutdownComplete& /*aAction*/) { mIsComplete = true; }
-
-  void Install(const ConfigurationRow& aRow);
+  void ExecuteAction(Action aAction);
+  void Execute(StartAttempt aAction);
+  void Execute(const StopAttempt& aAction);
+  void Execute(FinishRequest aAction);
+  void Execute(TableTransaction aAction);
+  void Execute(TableRead aAction);
+  void Execute(SendOrder aAction);
+  void PollOrder(SendOrder aOrder);
+  void Execute(SendMessage aAction);
+  void Execute(const WakeAt& /*aAction*/) {} // DecisionLoop handles it.
+  void Execute(const PublishConfiguration& aAction);
+  void Execute(const PublishReadiness& aAction);
+  void Execute(const ShutdownComplete& /*aAction*/) { mIsShutdownComplete = true; }
+
+  void LoadConfiguration(const ConfigurationRow& aRow);
   void PublishSnapshot();
   std::vector<Gauge> Gauges();
-  void PollHosts();
-  void MarkDrained(HostListReceived& aList) const;
-  void WriteAddresses(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const;
+  void PollHostList();
+  void MarkDrainedHosts(HostListReceived& aList) const;
+  void WriteAddressFile(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const;
 
   Settings mSettings;
   Incarnation mSelf;
-  TableClient mTable;
-  ConfigurationStore mStore;
+  TableClient mTableClient;
+  ConfigurationStore mConfigurationStore;
   RcuPointer<Snapshot> mSnapshot;
   Snapshot mNextSnapshot; ///< Used only while an action is executed, so by one thread at a time.
-  std::atomic<std::uint64_t> mVersion{ 0 };    ///< Version of the configuration in force.
-  std::atomic<std::uint64_t> mNewestRead{ 0 }; ///< Newest version that was or is being parsed.
+  std::atomic<std::uint64_t> mConfigurationVersion{ 0 }; ///< Version of the configuration in force.
+  std::atomic<std::uint64_t> mNewestParsedVersion{
+    0
+  }; ///< Newest version that was or is being parsed.
   SessionMap mSessions;
   Metrics mMetrics;
-  WorkerPool mTablePool;
-  WorkerPool mOrderPool;
-  WorkerPool mAttemptPool;
-  WorkerPool mStopPool;
+  WorkerPool mTableThreads;
+  WorkerPool mOrderThreads;
+  WorkerPool mAttemptThreads;
+  WorkerPool mStopAttemptThreads;
   DecisionLoop mLoop;
-  PeerTransport mPeers;
-  CallerServer mCallers;
-  AdminServer mAdmin;
-  std::thread mHostThread;
+  PeerTransport mPeerTransport;
+  CallerServer mCallerServer;
+  AdminServer mAdminServer;
+  std::thread mHostListThread;
   std::mutex mStopMutex;
   std::condition_variable mStopChanged;
   std::atomic<bool> mIsStopping{ false };
-  std::atomic<bool> mIsComplete{ false };
-  std::atomic<bool> mIsDrained{ false }; ///< An operator requested a drain.
+  std::atomic<bool> mIsShutdownComplete{ false };
+  std::atomic<bool> mIsDrainRequested{ false }; ///< An operator requested a drain.
 };
 
 NodeOptions MakeNodeOptions(const Settings& aSettings, const Incarnation& aSelf)
@@ -108,42 +110,44 @@
 Daemon::Daemon(Settings aSettings, std::vector<OperatorKey> aKeys)
   : mSettings(std::move(aSettings))
   , mSelf{ DaemonId{ mSettings.daemonId }, IncarnationId{ RandomHex() } }
-  , mTable({ .address = mSettings.table, .timeout = mSettings.callTimeout })
-  , mStore(mTable)
+  , mTableClient({ .address = mSettings.table, .timeout = mSettings.callTimeout })
+  , mConfigurationStore(mTableClient)
   , mSnapshot(std::make_unique<const Snapshot>())
-  , mTablePool(kTableThreads)
-  , mOrderPool(mSettings.orderThreads,
-               std::max<std::size_t>(1, mSettings.orderThreads / kOrderShare))
-  , mAttemptPool(mSettings.attemptThreads)
-  , mStopPool(kStopThreads)
+  , mTableThreads(kTableThreads)
+  , mOrderThreads(mSettings.orderThreads,
+                  std::max<std::size_t>(1, mSettings.orderThreads / kOrderThreadsDivisor))
+  , mAttemptThreads(mSettings.attemptThreads)
+  , mStopAttemptThreads(kStopAttemptThreads)
   , mLoop(MakeNodeOptions(mSettings, mSelf),
-          [this](Action aAction) { Perform(std::move(aAction)); })
-  , mPeers({ .address = mSettings.listenAddress, .port = mSettings.peerPort },
-           [this](Envelope aEnvelope) {
-             if (const auto* message = std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
-               Install(message->row);
-             }
-             mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
-                                         .senderVersion = aEnvelope.senderVersion,
-                                         .message = std::move(aEnvelope.message) });
-           })
-  , mCallers({ .address = mSettings.listenAddress,
-               .port = mSettings.callerPort,
-               .connections = mSettings.callerConnections,
-               .bodyLimit = mSettings.bodyLimit,
-               .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
-               .finished = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
-             mSnapshot,
-             mSessions,
-             [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
-  , mAdmin(
+          [this](Action aAction) { ExecuteAction(std::move(aAction)); })
+  , mPeerTransport({ .address = mSettings.listenAddress, .port = mSettings.peerPort },
+                   [this](Envelope aEnvelope) {
+                     if (const auto* message =
+                           std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
+                       LoadConfiguration(message->row);
+                     }
+                     mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
+                                                 .senderVersion = aEnvelope.senderVersion,
+                                                 .message = std::move(aEnvelope.message) });
+                   })
+  , mCallerServer(
+      { .address = mSettings.listenAddress,
+        .port = mSettings.callerPort,
+        .connections = mSettings.callerConnections,
+        .bodyLimit = mSettings.bodyLimit,
+        .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
+        .finished = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
+      mSnapshot,
+      mSessions,
+      [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
+  , mAdminServer(
       { .address = mSettings.listenAddress, .port = mSettings.adminPort, .keys = std::move(aKeys) },
       mSnapshot,
-      mStore,
+      mConfigurationStore,
       { .dump = [this] { return mLoop.Dump(); },
         .metrics = [this] { return mMetrics.ToText(Gauges()); },
-        .accepted = [this](const ConfigurationRow& aRow) { Install(aRow); },
-        .drain = [this] { mIsDrained = true; },
+        .accepted = [this](const ConfigurationRow& aRow) { LoadConfiguration(aRow); },
+        .drain = [this] { mIsDrainRequested = true; },
         .release =
           [this](FingerprintId aFingerprint) {
             mLoop.Post(QuarantineReleased{ std::move(aFingerprint) });
@@ -153,18 +157,18 @@
 
 bool Daemon::Start()
 {
-  const std::uint16_t peer = mPeers.Start();
-  const std::uint16_t admin = mAdmin.Start();
-  const std::uint16_t caller = mCallers.Start();
+  const std::uint16_t peer = mPeerTransport.Start();
+  const std::uint16_t admin = mAdminServer.Start();
+  const std::uint16_t caller = mCallerServer.Start();
   if (peer == 0 || admin == 0 || caller == 0) {
     Log(log_part::kDaemon)
       ->error("A port for callers, operators or other daemons cannot be bound. The daemon exits.");
     return false;
   }
-  WriteAddresses(caller, admin, peer);
+  WriteAddressFile(caller, admin, peer);
   mLoop.Start();
   mLoop.Post(Wake{});
-  mHostThread = std::thread([this] { PollHosts(); });
+  mHostListThread = std::thread([this] { PollHostList(); });
   Log(log_part::kDaemon)
     ->info("Daemon {} listens on port {} for callers, {} for operators and {} for other daemons.",
            mSettings.daemonId,
@@ -174,7 +178,9 @@
   return true;
 }
 
-void Daemon::WriteAddresses(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const
+void Daemon::WriteAddressFile(std::uint16_t aCaller,
+                              std::uint16_t aAdmin,
+                              std::uint16_t aPeer) const
 {
   if (mSettings.addressFile.empty()) {
     return;
@@ -188,12 +194,12 @@
   std::rename(partial.c_str(), mSettings.addressFile.c_str());
 }
 
-void Daemon::PollHosts()
+void Daemon::PollHostList()
 {
   while (!mIsStopping) {
     if (auto list =
           ReadHostList({ .address = mSettings.hostList, .timeout = mSettings.callTimeout })) {
-      MarkDrained(*list);
+      MarkDrainedHosts(*list);
       mLoop.Post(std::move(*list));
     }
     mMetrics.Collect();
@@ -204,7 +210,7 @@
 
 /* Marks endpoints that the configuration drains, unless the host list reports them as leaving. The
  * decision library treats both in the same way, but a drain can be taken back. */
-void Daemon::MarkDrained(HostListReceived& aList) const
+void Daemon::MarkDrainedHosts(HostListReceived& aList) const
 {
   mSnapshot.Read([&](const Snapshot& aSnapshot) {
     const auto& services = aSnapshot.configuration->services;
@@ -225,12 +231,12 @@
   sigaddset(&signals, SIGTERM);
   sigaddset(&signals, SIGINT);
   const timespec poll{ .tv_sec = 0, .tv_nsec = 100'000'000 };
-  while (!mIsDrained && sigtimedwait(&signals, nullptr, &poll) < 0) {
+  while (!mIsDrainRequested && sigtimedwait(&signals, nullptr, &poll) < 0) {
   }
   Log(log_part::kDaemon)->info("Shutting down. Waiting for {} open requests.", mSessions.size());
   mLoop.Post(ShutdownRequested{});
   const TimePoint end = DaemonNow() + mSettings.shutdownLimit;
-  while (!mIsComplete || mSessions.size() > 0) {
+  while (!mIsShutdownComplete || mSessions.size() > 0) {
     if (DaemonNow() >= end) {
       Log(log_part::kDaemon)
         ->error("The shutdown limit has passed. Exiting with {} open requests.", mSessions.size());
@@ -245,25 +251,25 @@
     mIsStopping = true;
   }
   mStopChanged.notify_all();
-  mCallers.Stop();
-  mAdmin.Stop();
-  mHostThread.join();
+  mCallerServer.Stop();
+  mAdminServer.Stop();
+  mHostListThread.join();
   mLoop.Stop();
-  mPeers.Stop();
-  mStopPool.Stop();
-  mAttemptPool.Stop();
-  mOrderPool.Stop();
-  mTablePool.Stop();
+  mPeerTransport.Stop();
+  mStopAttemptThreads.Stop();
+  mAttemptThreads.Stop();
+  mOrderThreads.Stop();
+  mTableThreads.Stop();
   Log(log_part::kDaemon)->info("Stopped.");
   return kExitOk;
 }
 
-void Daemon::Perform(Action aAction)
+void Daemon::ExecuteAction(Action aAction)
 {
-  std::visit([this](auto& aKind) { Do(std::move(aKind)); }, aAction);
+  std::visit([this](auto& aKind) { Execute(std::move(aKind)); }, aAction);
 }
 
-void Daemon::Do(StartAttempt aAction)
+void Daemon::Execute(StartAttempt aAction)
 {
   mMetrics.Count(Counter::kAttempts);
   if (aAction.attempt.value > 1) {
@@ -277,7 +283,7 @@
     return;
   }
   const TimePoint end = DaemonNow() + aAction.timeLeft;
-  mAttemptPool.Submit([this, session, end, start = std::move(aAction)]() mutable {
+  mAttemptThreads.Submit([this, session, end, start = std::move(aAction)]() mutable {
     // The job may have waited until one of the threads was free.
     start.timeLeft = end - DaemonNow();
     if (start.timeLeft <= Duration{ 0 }) {
@@ -291,44 +297,44 @@
   });
 }
 
-void Daemon::Do(const StopAttempt& aAction)
+void Daemon::Execute(const StopAttempt& aAction)
 {
   if (auto session = mSessions.Find(aAction.request)) {
-    mStopPool.Submit(
+    mStopAttemptThreads.Submit(
       [session = std::move(session), attempt = aAction.attempt] { session->StopAttempt(attempt); });
   }
 }
 
-void Daemon::Do(FinishRequest aAction)
+void Daemon::Execute(FinishRequest aAction)
 {
   if (const auto session = mSessions.Find(aAction.request)) {
     session->Finish(std::move(aAction));
   }
 }
 
-void Daemon::Do(TableTransaction aAction)
+void Daemon::Execute(TableTransaction aAction)
 {
   mMetrics.Count(Counter::kTableTransactions);
-  mTablePool.Submit(
-    [this, transaction = std::move(aAction)] { mLoop.Post(mTable.Commit(transaction)); });
+  mTableThreads.Submit(
+    [this, transaction = std::move(aAction)] { mLoop.Post(mTableClient.Commit(transaction)); });
 }
 
-void Daemon::Do(TableRead aAction)
+void Daemon::Execute(TableRead aAction)
 {
   mMetrics.Count(Counter::kTableReads);
-  mTablePool.Submit([this, read = std::move(aAction)] {
-    ReadResult result = mTable.Read(read);
+  mTableThreads.Submit([this, read = std::move(aAction)] {
+    ReadResult result = mTableClient.Read(read);
     for (const Row& row : result.rows) {
       const auto* configuration = row.value ? std::get_if<ConfigurationRow>(&*row.value) : nullptr;
       if (configuration != nullptr) {
-        Install(*configuration);
+        LoadConfiguration(*configuration);
       }
     }
     mLoop.Post(std::move(result));
   });
 }
 
-void Daemon::Do(SendOrder aAction)
+void Daemon::Execute(SendOrder aAction)
 {
   switch (aAction.kind) {
     case OrderKind::kInventory:
@@ -344,13 +350,13 @@
       break;
   }
   std::string runner = aAction.runner.str();
-  mOrderPool.Submit(
+  mOrderThreads.Submit(
     [this, order = std::move(aAction)]() mutable {
       OrderResult result = GiveOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       const bool isRunning = result.outcome == OrderOutcome::kAccepted;
       mLoop.Post(std::move(result));
       if (isRunning) {
-        Follow(std::move(order));
+        PollOrder(std::move(order));
       }
     },
     std::move(runner));
@@ -358,15 +364,15 @@
 
 /* Polls the runner until an accepted order has ended or a poll fails, then posts the result. Each
  * poll is a separate job, so that long loads do not keep threads from other orders. */
-void Daemon::Follow(SendOrder aOrder)
+void Daemon::PollOrder(SendOrder aOrder)
 {
   std::string runner = aOrder.runner.str();
-  mOrderPool.Submit(
+  mOrderThreads.Submit(
     [this, order = std::move(aOrder)]() mutable {
       OrderResult result =
         FollowOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       if (result.outcome == OrderOutcome::kAccepted) {
-        Follow(std::move(order));
+        PollOrder(std::move(order));
       } else {
         mLoop.Post(std::move(result));
       }
@@ -374,15 +380,15 @@
     std::move(runner));
 }
 
-void Daemon::Do(SendMessage aAction)
+void Daemon::Execute(SendMessage aAction)
 {
-  const ConfigVersion version{ mVersion };
+  const ConfigVersion version{ mConfigurationVersion };
   if (aAction.to == mSelf.daemon) {
     mLoop.Post(MessageReceived{
       .from = mSelf, .senderVersion = version, .message = std::move(aAction.message) });
     return;
   }
-  mPeers.Send(aAction.address, { mSelf, version, std::move(aAction.message) });
+  mPeerTransport.Send(aAction.address, { mSelf, version, std::move(aAction.message) });
 }
 
 std::vector<Gauge> Daemon::Gauges()
@@ -395,20 +401,20 @@
     }
     quarantined += entry.path.starts_with("router.quarantined.") ? 1 : 0;
   }
-  const PeerCounters peers = mPeers.counters();
+  const PeerCounters peers = mPeerTransport.counters();
   return { { "requests_open", "Requests that are open.", mSessions.size() },
            { "requests_waiting", "Requests that wait for a replica or an endpoint.", waiting },
            { "requests_quarantined", "Requests that are refused for crashes.", quarantined },
-           { "configuration_version", "Version in force.", mVersion },
+           { "configuration_version", "Version in force.", mConfigurationVersion },
            { "peer_sent_bytes", "Bytes sent to other daemons.", peers.sentBytes },
            { "peer_received_bytes", "Bytes received from other daemons.", peers.receivedBytes },
            { "peer_sent_messages", "Messages sent to other daemons.", peers.sentMessages },
            { "peer_lost_messages", "Messages that could not be delivered.", peers.lostMessages } };
 }
 
-void Daemon::Do(const PublishConfiguration& aAction)
+void Daemon::Execute(const PublishConfiguration& aAction)
 {
-  mVersion = aAction.configuration->version.value;
+  mConfigurationVersion = aAction.configuration->version.value;
   mNextSnapshot.configuration = aAction.configuration;
   mNextSnapshot.customersByKeyHash.clear();
   for (const auto& [id, customer] : aAction.configuration->customers) {
@@ -416,11 +422,12 @@
       mNextSnapshot.customersByKeyHash.emplace(hash, id);
     }
   }
-  Log(log_part::kConfiguration)->info("Configuration version {} is in force.", mVersion.load());
+  Log(log_part::kConfiguration)
+    ->info("Configuration version {} is in force.", mConfigurationVersion.load());
   PublishSnapshot();
 }
 
-void Daemon::Do(const PublishReadiness& aAction)
+void Daemon::Execute(const PublishReadiness& aAction)
 {
   mNextSnapshot.readiness = aAction.readiness;
   Log(log_part::kDaemon)->info("Readiness is now {}.", ToString(aAction.readiness));
@@ -432,15 +439,15 @@
   mSnapshot.Publish(std::make_unique<const Snapshot>(mNextSnapshot));
 }
 
-void Daemon::Install(const ConfigurationRow& aRow)
+void Daemon::LoadConfiguration(const ConfigurationRow& aRow)
 {
   // Several daemons may send the same version at the same time. It is parsed only once.
-  std::uint64_t newest = mNewestRead;
+  std::uint64_t newest = mNewestParsedVersion;
   do {
     if (aRow.version.value <= newest) {
       return;
     }
-  } while (!mNewestRead.compare_exchange_weak(newest, aRow.version.value));
+  } while (!mNewestParsedVersion.compare_exchange_weak(newest, aRow.version.value));
   auto parsed = ParseConfiguration(aRow.document, aRow.version);
   if (!parsed) {
     Log(log_part::kConfiguration)
--- a/src/daemon/decision_loop.cpp
+++ b/src/daemon/decision_loop.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /* Longest sleep of the separate thread. If no wake event is due afterwards, it sleeps again. */
-constexpr Duration kLongestSleep = 60s;
+constexpr Duration kMaxSleep = 60s;
 /* Limit on the events that a thread applies in one Post(). The separate thread applies the rest. */
-constexpr std::size_t kCombinedLimit = 32;
+constexpr std::size_t kMaxEventsPerPost = 32;
 
 } // namespace
 
@@ -21,8 +21,8 @@
     std::chrono::steady_clock::now().time_since_epoch()) };
 }
 
-DecisionLoop::DecisionLoop(NodeOptions aOptions, std::function<void(Action)> aPerform)
-  : mPerform(std::move(aPerform))
+DecisionLoop::DecisionLoop(NodeOptions aOptions, std::function<void(Action)> aExecuteAction)
+  : mExecuteAction(std::move(aExecuteAction))
   , mNode(std::move(aOptions))
 {
 }
@@ -46,8 +46,8 @@
   {
     std::unique_lock lock(mMutex);
     mIsStopping = true;
-    mChanged.notify_all();
-    mChanged.wait(lock, [this] { return !mIsApplying; });
+    mStateChanged.notify_all();
+    mStateChanged.wait(lock, [this] { return !mIsApplying; });
   }
   if (mThread.joinable()) {
     mThread.join();
@@ -59,7 +59,7 @@
   std::unique_lock lock(mMutex);
   mEvents.push_back(std::move(aEvent));
   if (mIsStarted && !mIsApplying && !mIsStopping) {
-    ApplyQueued(lock, kCombinedLimit);
+    ApplyQueuedEvents(lock, kMaxEventsPerPost);
   }
 }
 
@@ -69,7 +69,7 @@
   return mNode.Dump();
 }
 
-void DecisionLoop::ApplyQueued(std::unique_lock<std::mutex>& aLock, std::size_t aLimit)
+void DecisionLoop::ApplyQueuedEvents(std::unique_lock<std::mutex>& aLock, std::size_t aLimit)
 {
   mIsApplying = true;
   for (std::size_t count = 0; count < aLimit && !mEvents.empty() && !mIsStopping; ++count) {
@@ -80,8 +80,8 @@
     aLock.lock();
   }
   mIsApplying = false;
-  if (mIsStopping || !mEvents.empty() || mWake < mSleepsUntil) {
-    mChanged.notify_all();
+  if (mIsStopping || !mEvents.empty() || mNextWakeAt < mSleepingUntil) {
+    mStateChanged.notify_all();
   }
 }
 
@@ -95,36 +95,36 @@
   for (Action& action : actions) {
     if (const auto* wake = std::get_if<WakeAt>(&action)) {
       const std::lock_guard lock(mMutex);
-      mWake = wake->time;
+      mNextWakeAt = wake->time;
       continue;
     }
-    mPerform(std::move(action));
+    mExecuteAction(std::move(action));
   }
 }
 
-bool DecisionLoop::IsDue() const
+bool DecisionLoop::CanApplyNow() const
 {
-  return !mIsApplying && (!mEvents.empty() || mWake <= DaemonNow());
+  return !mIsApplying && (!mEvents.empty() || mNextWakeAt <= DaemonNow());
 }
 
 void DecisionLoop::Run()
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
-    if (!IsDue()) {
+    if (!CanApplyNow()) {
       // A thread that applies events notifies this one when it stops, if events are left or if the
       // next wake event is due before this thread wakes up.
-      const TimePoint next = mIsApplying ? TimePoint::max() : mWake;
-      mSleepsUntil = std::min(next, DaemonNow() + kLongestSleep);
-      mChanged.wait_until(lock,
-                          std::chrono::steady_clock::time_point{ mSleepsUntil.time_since_epoch() });
+      const TimePoint next = mIsApplying ? TimePoint::max() : mNextWakeAt;
+      mSleepingUntil = std::min(next, DaemonNow() + kMaxSleep);
+      mStateChanged.wait_until(
+        lock, std::chrono::steady_clock::time_point{ mSleepingUntil.time_since_epoch() });
       continue;
     }
-    if (mWake <= DaemonNow()) {
-      mWake = TimePoint::max();
+    if (mNextWakeAt <= DaemonNow()) {
+      mNextWakeAt = TimePoint::max();
       mEvents.push_back(Wake{});
     }
-    ApplyQueued(lock, mEvents.size());
+    ApplyQueuedEvents(lock, mEvents.size());
   }
 }
 
--- a/src/daemon/decision_loop.h
+++ b/src/daemon/decision_loop.h
@@ -20,9 +20,9 @@
 class DecisionLoop
 {
 public:
-  /* aPerform executes one action, on the thread that applies the event. It must not block, because
-   * no other event is applied in the meantime. */
-  DecisionLoop(NodeOptions aOptions, std::function<void(Action)> aPerform);
+  /* aExecuteAction executes one action, on the thread that applies the event. It must not block,
+   * because no other event is applied in the meantime. */
+  DecisionLoop(NodeOptions aOptions, std::function<void(Action)> aExecuteAction);
   ~DecisionLoop();
   DecisionLoop(const DecisionLoop&) = delete;
   DecisionLoop& operator=(const DecisionLoop&) = delete;
@@ -42,21 +42,21 @@
 
 private:
   void Run();
-  bool IsDue() const;
-  void ApplyQueued(std::unique_lock<std::mutex>& aLock, std::size_t aLimit);
+  bool CanApplyNow() const;
+  void ApplyQueuedEvents(std::unique_lock<std::mutex>& aLock, std::size_t aLimit);
   void Apply(const Event& aEvent);
 
-  std::function<void(Action)> mPerform;
+  std::function<void(Action)> mExecuteAction;
   std::mutex mNodeMutex; ///< Guards mNode.
   Node mNode;
   std::mutex mMutex; ///< Guards all members below.
-  std::condition_variable mChanged;
+  std::condition_variable mStateChanged;
   std::deque<Event> mEvents;
   bool mIsStarted = false;
   bool mIsStopping = false;
-  bool mIsApplying = false; ///< A thread is applying events. Others only queue theirs.
-  TimePoint mWake{};        ///< When the next wake event is due.
-  TimePoint mSleepsUntil{}; ///< When the separate thread wakes up without a notification.
+  bool mIsApplying = false;   ///< A thread is applying events. Others only queue theirs.
+  TimePoint mNextWakeAt{};    ///< When the next wake event is due.
+  TimePoint mSleepingUntil{}; ///< When the separate thread wakes up without a notification.
   std::thread mThread;
 };
 
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -34,42 +34,42 @@
 /* Time after the stop signal for which new requests are still accepted. The readiness check fails
  * from the signal on. The balancer makes it once per second and needs two failures before it sends
  * no more connections. */
-constexpr Duration kFarewellTime = 2'500ms;
+constexpr Duration kDeregistrationDelay = 2'500ms;
 /* Time before the end of the grace period at which the process exits even if requests are open.
  * This way it exits by itself before it is killed. */
-constexpr Duration kGraceMargin = 700ms;
+constexpr Duration kExitMargin = 700ms;
 /* Time before the end of the grace period at which requests that are not in flight at an endpoint
  * are ended, so that their clients can send them to another daemon. */
-constexpr Duration kHandOnTime = 2'500ms;
+constexpr Duration kWaitingRequestMargin = 2'500ms;
 /* Time between two checks whether a stopping daemon can exit. */
-constexpr Duration kStopCheckInterval = 50ms;
+constexpr Duration kShutdownCheckInterval = 50ms;
 /* Time between two "status" log lines. */
-constexpr Duration kStatusInterval = 10s;
+constexpr Duration kStatusLogInterval = 10s;
 /* Time between two checks for runners whose missing entries now count as removed. After an outage
  * of the store, a missing entry does so only once a grace period is over. */
-constexpr Duration kSweepInterval = 250ms;
+constexpr Duration kRunnerSweepInterval = 250ms;
 /* Minimum time between two watches of the runner table on a daemon that is not the dispatcher, as
  * a share of the drain limit. The rest of the limit is left for the call to the store. */
-constexpr double kRunnerIntervalPart = 0.6;
+constexpr double kRunnerWatchIntervalRatio = 0.6;
 /* Minimum time between two watches of the runner table on the dispatcher. */
-constexpr Duration kHolderRunnerInterval = 300ms;
+constexpr Duration kDispatcherRunnerWatchInterval = 300ms;
 /* Minimum of the limit on client connections. With more descriptors the limit is half of them, and
  * the other half is left for endpoints, the store, other daemons, files and listeners. */
-constexpr std::size_t kReservedDescriptors = 264;
+constexpr std::size_t kMinConnectionLimit = 264;
 
 /* Returns the extra time that a host waits before it takes the order lease. A host with less than
  * a quarter of a core waits, so that better equipped hosts can take the lease first: the dispatcher
  * of a large fleet needs about a third of a core. */
-Duration HeadStart(double aCpuShare)
+Duration AdditionalTakeoverDelay(double aCpuShare)
 {
-  constexpr double kEnoughCores = 0.25;
-  constexpr Duration kModestWait = 700ms;
-  return aCpuShare >= kEnoughCores ? Duration::zero() : kModestWait;
+  constexpr double kSufficientCores = 0.25;
+  constexpr Duration kLowCpuDelay = 700ms;
+  return aCpuShare >= kSufficientCores ? Duration::zero() : kLowCpuDelay;
 }
 
 /* Returns the loaded models of a runner for logs: their names, separated by commas. "+" and a
  * number follow the name of a model with loaded adapters. */
-std::string NamesOf(const std::map<ModelId, std::set<AdapterId>>& aModels)
+std::string DescribeLoadedModels(const std::map<ModelId, std::set<AdapterId>>& aModels)
 {
   std::string names;
   for (const auto& [model, adapters] : aModels) {
@@ -133,7 +133,7 @@
                 .zone = ZoneId{ mSettings.zone },
                 .address = mSettings.edge.linkAddress,
                 .leaseSpacing = mSettings.edge.leaseSpacing,
-                .additionalTakeoverDelay = HeadStart(mSettings.edge.cpuShare) })
+                .additionalTakeoverDelay = AdditionalTakeoverDelay(mSettings.edge.cpuShare) })
     , mConfigurationFeed(mLoop,
                          mStore,
                          mLog,
@@ -143,24 +143,25 @@
         mLoop,
         mStore,
         mLog,
-        { .table = std::string{ platform::table::kRunners }, .minInterval = RunnerInterval() },
+        { .table = std::string{ platform::table::kRunners }, .minInterval = RunnerWatchInterval() },
         RunnerHandlers())
-    , mFront(mLoop,
-             { .address = mSettings.edge.frontAddress, .connectionLimit = ConnectionLimit() },
-             [this](http::Request aRequest, std::shared_ptr<http::Responder> aResponder) {
-               ServeRequest(mGateway, std::move(aRequest), std::move(aResponder));
-             })
-    , mReady(
+    , mClientServer(
+        mLoop,
+        { .address = mSettings.edge.frontAddress, .connectionLimit = ConnectionLimit() },
+        [this](http::Request aRequest, std::shared_ptr<http::Responder> aResponder) {
+          ServeRequest(mGateway, std::move(aRequest), std::move(aResponder));
+        })
+    , mReadinessServer(
         mLoop,
         { .address = mSettings.edge.readyAddress },
         [this](const http::Request& aRequest, const std::shared_ptr<http::Responder>& aResponder) {
           AnswerReadiness(aRequest, *aResponder);
         })
-    , mInspection(
+    , mMetricsServer(
         mLoop,
         { .address = mSettings.edge.metricsAddress },
         [this](const http::Request& aRequest, const std::shared_ptr<http::Responder>& aResponder) {
-          AnswerInspection(aRequest, *aResponder);
+          AnswerMetricsOrState(aRequest, *aResponder);
         })
     , mSignals(mLoop, SIGTERM, SIGINT, SIGHUP)
     , mFlushTimer(mLoop)
@@ -172,14 +173,14 @@
 
   int Run()
   {
-    for (http::Server* server : { &mFront, &mReady }) {
+    for (http::Server* server : { &mClientServer, &mReadinessServer }) {
       if (const std::string error = server->Listen(); !error.empty()) {
         std::fprintf(stderr, "cannot listen: %s\n", error.c_str());
         return kExitCannotListen;
       }
     }
     if (!mSettings.edge.metricsAddress.empty()) {
-      if (const std::string error = mInspection.Listen(); !error.empty()) {
+      if (const std::string error = mMetricsServer.Listen(); !error.empty()) {
         mLog.Write("metrics_unavailable", { { "reason", error } });
       }
     }
@@ -190,15 +191,15 @@
                  { "store", mSettings.edge.storeAddress } });
     ApplySettings();
     WaitForSignal();
-    FlushLater();
+    ScheduleFlush();
     if (const std::string error = mMember.Start(); !error.empty()) {
       std::fprintf(stderr, "cannot listen: %s\n", error.c_str());
       return kExitCannotListen;
     }
     mConfigurationFeed.Start();
     mRunnerFeed.Start();
-    SweepRunnersLater();
-    NoteStatusLater();
+    ScheduleRunnerSweep();
+    ScheduleStatusLog();
     mLoop.run();
     mLog.Flush();
     if (!mGateway.openRequests.empty()) {
@@ -212,14 +213,15 @@
 private:
   std::size_t ConnectionLimit() const
   {
-    return mSettings.edge.descriptorLimit > 2 * kReservedDescriptors
+    return mSettings.edge.descriptorLimit > 2 * kMinConnectionLimit
              ? mSettings.edge.descriptorLimit / 2
-             : kReservedDescriptors;
+             : kMinConnectionLimit;
   }
 
-  Duration RunnerInterval() const
+  Duration RunnerWatchInterval() const
   {
-    return std::chrono::duration_cast<Duration>(mSettings.edge.drainLimit * kRunnerIntervalPart);
+    return std::chrono::duration_cast<Duration>(mSettings.edge.drainLimit *
+                                                kRunnerWatchIntervalRatio);
   }
 
   /* Passes on the settings that a reload can change and that other parts keep a copy of. */
@@ -228,28 +230,28 @@
     mGateway.retries.SetOptions({ .ratio = mSettings.decision.retryBudgetRatio,
                                   .slack = mSettings.edge.retrySlack,
                                   .window = mSettings.edge.retryWindow,
-                                  .daemons = mDaemons });
+                                  .daemons = mDaemonCount });
     mDispatcher.SetStoreLimits(
       { .window = mSettings.edge.loadWindow, .overage = mSettings.edge.loadOverage });
   }
 
   void OnDaemonCount(std::uint32_t aCount)
   {
-    if (aCount != mDaemons) {
-      mLog.Write("daemon_count", { { "count", aCount }, { "former", mDaemons } });
-      mDaemons = aCount;
+    if (aCount != mDaemonCount) {
+      mLog.Write("daemon_count", { { "count", aCount }, { "former", mDaemonCount } });
+      mDaemonCount = aCount;
       ApplySettings();
     }
   }
 
   /* Logs the figures that an on-call engineer looks at first. The counts of calls to the store and
    * of log lines left out are since the start. */
-  void NoteStatus()
+  void LogStatus()
   {
     const auto& store = mStore.counts();
     mLog.Write("status",
                { { "open_requests", mGateway.openRequests.size() },
-                 { "connections", mFront.counts().connections },
+                 { "connections", mClientServer.counts().connections },
                  { "questions_open", mPlacement.pendingRequestCount() },
                  { "dispatcher", mMember.lease().holder },
                  { "dispatcher_reachable", mMember.HasDispatcher() },
@@ -261,28 +263,29 @@
                  { "lines_left_out", mLog.leftOut() } });
   }
 
-  void NoteStatusLater()
+  void ScheduleStatusLog()
   {
-    mStatusTimer.expires_after(kStatusInterval);
+    mStatusTimer.expires_after(kStatusLogInterval);
     mStatusTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        NoteStatus();
-        NoteStatusLater();
+        LogStatus();
+        ScheduleStatusLog();
       }
     });
   }
 
   /* Schedules a check that removes runners from the dispatcher when their missing entries count as
    * removed, and that adapts the watch interval of the runner table to this daemon's role. */
-  void SweepRunnersLater()
+  void ScheduleRunnerSweep()
   {
-    mSweepTimer.expires_after(kSweepInterval);
+    mSweepTimer.expires_after(kRunnerSweepInterval);
     mSweepTimer.async_wait([this](boost::system::error_code aError) {
       if (aError) {
         return;
       }
       const TimePoint now = BootTime();
-      mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kHolderRunnerInterval : RunnerInterval());
+      mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kDispatcherRunnerWatchInterval
+                                                        : RunnerWatchInterval());
       for (const auto& [id, runner] : mRunners.runners()) {
         if (runner.missingSince && mDispatcher.runners().contains(id) &&
             mRunners.Check(now, runner) == fleet::Exclusion::kGone) {
@@ -292,7 +295,7 @@
           mDispatcher.OnRunnerGone(id);
         }
       }
-      SweepRunnersLater();
+      ScheduleRunnerSweep();
     });
   }
 
@@ -340,10 +343,10 @@
                  { "routes", decoded->routeCount() },
                  { "services", decoded->services.size() },
                  { "row_version", aRow.version.value } });
-    mFront.SetLimits({ .headerBytes = decoded->limits.headerBytes,
-                       .bodyBytes = decoded->limits.bodyBytes,
-                       .headerTime = decoded->limits.headerTime,
-                       .idleTime = decoded->limits.idleTime });
+    mClientServer.SetLimits({ .headerBytes = decoded->limits.headerBytes,
+                              .bodyBytes = decoded->limits.bodyBytes,
+                              .headerTime = decoded->limits.headerTime,
+                              .idleTime = decoded->limits.idleTime });
     mGateway.configuration = std::make_shared<const fleet::FleetConfiguration>(std::move(*decoded));
     mDispatcher.SetConfiguration(mGateway.configuration);
     mMember.OnDispatcherInputChanged();
@@ -372,7 +375,7 @@
                { { "endpoint", entry->id },
                  { "service", entry->service },
                  { "address", entry->address },
-                 { "models", NamesOf(entry->holdings.models) },
+                 { "models", DescribeLoadedModels(entry->holdings.models) },
                  { "on_disk", entry->holdings.onDisk.size() },
                  { "row_version", aRow.version.value } });
     if (change != fleet::RunnerRegistry::Change::kJoined) {
@@ -408,7 +411,7 @@
                     "");
   }
 
-  void AnswerInspection(const http::Request& aRequest, http::Responder& aResponder)
+  void AnswerMetricsOrState(const http::Request& aRequest, http::Responder& aResponder)
   {
     constexpr unsigned kOk = 200;
     constexpr unsigned kNotFound = 404;
@@ -472,7 +475,7 @@
 
   std::vector<Gauge> Gauges() const
   {
-    const auto front = mFront.counts();
+    const auto front = mClientServer.counts();
     const auto client = mClient.counts();
     const auto& store = mStore.counts();
     return {
@@ -501,14 +504,14 @@
     };
   }
 
-  void FlushLater()
+  void ScheduleFlush()
   {
     mFlushTimer.expires_after(kFlushInterval);
     mFlushTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
         mLog.Flush();
         mMetrics.Collect();
-        FlushLater();
+        ScheduleFlush();
       }
     });
   }
@@ -520,9 +523,9 @@
         return;
       }
       if (aSignal == SIGHUP) {
-        Reload();
+        ReloadSettings();
       } else {
-        Stop();
+        BeginShutdown();
       }
       WaitForSignal();
     });
@@ -530,7 +533,7 @@
 
   /* Reads the settings file again. Addresses and other values that are used only at the start
    * change nothing until a restart. An invalid file is rejected as a whole. */
-  void Reload()
+  void ReloadSettings()
   {
     auto settings = LoadSettings(mSettingsFile, SettingsUse::kEdge);
     if (!settings) {
@@ -545,39 +548,39 @@
     mLog.Write("reload", { { "file", mSettingsFile } });
   }
 
-  void Stop()
+  void BeginShutdown()
   {
     if (mIsStopping) {
       return;
     }
     mIsStopping = true;
-    mStoppedAt = BootTime();
+    mShutdownStartedAt = BootTime();
     mLog.Write("stopping", { { "open_requests", mGateway.openRequests.size() } });
-    mFront.Drain();
+    mClientServer.Drain();
     mMember.Release();
-    CheckStopped();
+    CheckShutdown();
   }
 
-  void CheckStopped()
+  void CheckShutdown()
   {
-    const Duration passed = BootTime() - mStoppedAt;
-    if (passed >= kFarewellTime && !std::exchange(mGateway.isLeaving, true)) {
+    const Duration passed = BootTime() - mShutdownStartedAt;
+    if (passed >= kDeregistrationDelay && !std::exchange(mGateway.isLeaving, true)) {
       // The balancer sends no more connections here. Idle connections are closed, and requests that
       // arrive on others are refused with a retry time, so that clients use another daemon.
-      mFront.CloseIdle();
+      mClientServer.CloseIdle();
     }
-    if (passed >= mSettings.edge.shutdownGrace - kHandOnTime) {
+    if (passed >= mSettings.edge.shutdownGrace - kWaitingRequestMargin) {
       EndWaitingRequests(mGateway);
     }
     const bool isQuiet =
-      passed >= kFarewellTime && mGateway.openRequests.empty() && mFront.IsQuiet();
+      passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsQuiet();
     // The server must be quiet at two checks in a row, because the last bytes of an answer may
     // still be in transit at the first one.
     const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
     const bool isIdle = isQuiet && wasQuiet;
-    const bool isLate = passed >= mSettings.edge.shutdownGrace - kGraceMargin;
+    const bool isLate = passed >= mSettings.edge.shutdownGrace - kExitMargin;
     if (isIdle || isLate) {
-      NoteStatus();
+      LogStatus();
       mLog.Write(
         "stop",
         { { "open_requests", mGateway.openRequests.size() }, { "took_ms", Milliseconds(passed) } });
@@ -586,10 +589,10 @@
       mLoop.stop();
       return;
     }
-    mStopTimer.expires_after(kStopCheckInterval);
+    mStopTimer.expires_after(kShutdownCheckInterval);
     mStopTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        CheckStopped();
+        CheckShutdown();
       }
     });
   }
@@ -609,18 +612,18 @@
   FleetMember mMember;
   TableFeed mConfigurationFeed;
   TableFeed mRunnerFeed;
-  http::Server mFront;
-  http::Server mReady;
-  http::Server mInspection;
+  http::Server mClientServer;
+  http::Server mReadinessServer;
+  http::Server mMetricsServer;
   asio::signal_set mSignals;
   asio::steady_timer mFlushTimer;
   asio::steady_timer mStopTimer;
   asio::steady_timer mSweepTimer;
   asio::steady_timer mStatusTimer;
-  std::uint32_t mDaemons = 1;
+  std::uint32_t mDaemonCount = 1;
   bool mIsStopping = false;
   bool mWasQuiet = false;
-  TimePoint mStoppedAt{};
+  TimePoint mShutdownStartedAt{};
   int mExitCode = kExitOk;
 };
 
