--- a/src/platform/configuration_decoder.cpp
+++ b/src/platform/configuration_decoder.cpp
@@ -1,4 +1,4 @@
-/* Decodes the operator's configuration. */
+/* Decodes the operators' configuration document, which is JSON. */
 #include "platform/configuration_decoder.h"
 
 #include "platform/json_reader.h"
@@ -17,7 +17,7 @@
   if (aWord == "streaming") {
     return fleet::RouteKind::kStream;
   }
-  // A kind that is not known yet is treated as the strictest one.
+  // Any other kind, also one that this version does not know, is treated as the strictest one.
   return fleet::RouteKind::kNonIdempotent;
 }
 
@@ -35,7 +35,7 @@
   route.priority = static_cast<std::uint32_t>(WholeOr(aRoute, "priority", 0));
   route.maxAttempts =
     std::max<std::uint32_t>(1, static_cast<std::uint32_t>(WholeOr(aRoute, "maxAttempts", 1)));
-  // A route names one service, or several with weights.
+  // A route names either one service or several services with weights.
   if (aRoute.contains("weightedBackends")) {
     for (const Json& share : List(aRoute, "weightedBackends")) {
       route.services.push_back({ .service = ServiceId{ Text(share, "backend") },
--- a/src/platform/configuration_decoder.h
+++ b/src/platform/configuration_decoder.h
@@ -1,4 +1,4 @@
-/* Decodes the operator's configuration. */
+/* Decodes the operators' configuration document. */
 #ifndef RHUBARBTRAIL_PLATFORM_CONFIGURATION_DECODER_H
 #define RHUBARBTRAIL_PLATFORM_CONFIGURATION_DECODER_H
 
@@ -9,7 +9,7 @@
 
 namespace rhubarbtrail::platform {
 
-/* Returns the configuration, or what is wrong with the document. */
+/* Returns the configuration, or an error message if the document is invalid. */
 tl::expected<fleet::FleetConfiguration, std::string> DecodeConfiguration(
   const std::string& aDocument);
 
--- a/src/platform/json_reader.h
+++ b/src/platform/json_reader.h
@@ -1,4 +1,4 @@
-/* Strict reading of members of JSON objects. */
+/* Type-checked access to members of JSON objects. */
 #ifndef RHUBARBTRAIL_PLATFORM_JSON_READER_H
 #define RHUBARBTRAIL_PLATFORM_JSON_READER_H
 
@@ -14,14 +14,15 @@
 
 using Json = nlohmann::json;
 
-/* Thrown by the readers below; caught at the decoder's door and turned into an error value. */
+/* Thrown by the functions below if a value is missing or has the wrong type. The public decoders
+ * catch it and return its message. */
 class DecodeError : public std::runtime_error
 {
 public:
   using std::runtime_error::runtime_error;
 };
 
-/* Parses bytes as JSON; throws DecodeError. */
+/* Parses a JSON text. Throws DecodeError if it is invalid. */
 inline Json ParseJson(const std::string& aText)
 {
   Json value = Json::parse(aText, nullptr, false);
@@ -31,7 +32,7 @@
   return value;
 }
 
-/* Returns a member, or throws when it is missing. */
+/* Returns a member. Throws DecodeError if it is missing or the value is not an object. */
 inline const Json& Member(const Json& aObject, const char* aName)
 {
   const auto found = aObject.find(aName);
@@ -45,12 +46,12 @@
 {
   const Json& value = Member(aObject, aName);
   if (!value.is_string()) {
-    throw DecodeError(std::string{ aName } + " is not a text");
+    throw DecodeError(std::string{ aName } + " is not a string");
   }
   return value.get_ref<const std::string&>();
 }
 
-/* Returns a number that is not negative. */
+/* Returns a finite number of 0 or more. Throws DecodeError for any other value. */
 inline double Number(const Json& aObject, const char* aName)
 {
   const Json& value = Member(aObject, aName);
@@ -65,13 +66,13 @@
   return aObject.contains(aName) ? Number(aObject, aName) : aDefault;
 }
 
-/* Returns a whole number that is not negative. */
+/* Returns an integer of 0 or more. Throws DecodeError for any other value. */
 inline std::uint64_t Whole(const Json& aObject, const char* aName)
 {
   const Json& value = Member(aObject, aName);
   if (!value.is_number_integer() ||
       (value.is_number_integer() && !value.is_number_unsigned() && value.get<std::int64_t>() < 0)) {
-    throw DecodeError(std::string{ aName } + " is not a whole number of 0 or more");
+    throw DecodeError(std::string{ aName } + " is not an integer of 0 or more");
   }
   return value.get<std::uint64_t>();
 }
@@ -97,7 +98,7 @@
 {
   const Json& value = Member(aObject, aName);
   if (!value.is_array()) {
-    throw DecodeError(std::string{ aName } + " is not a list");
+    throw DecodeError(std::string{ aName } + " is not an array");
   }
   return value;
 }
--- a/src/platform/request_headers.cpp
+++ b/src/platform/request_headers.cpp
@@ -1,4 +1,4 @@
-/* Decodes the header fields of clients' requests and endpoints' answers, and sets our own. */
+/* Decodes and encodes the header fields of clients' requests and endpoints' answers. */
 #include "platform/request_headers.h"
 
 #include "platform/wire_names.h"
@@ -12,7 +12,8 @@
 
 namespace {
 
-/* Fields that only the system may set on the way to an endpoint. */
+/* Fields that only a daemon may set on a request to an endpoint. Those that a client sends are
+ * dropped. */
 constexpr std::array kOwnFields{ field::kTarget,    field::kPriority,      field::kHold,
                                  field::kPin,       field::kBackup,        field::kResumeFrom,
                                  field::kFetchFrom, field::kExpectVersion, field::kDeadline };
@@ -29,7 +30,7 @@
   return value;
 }
 
-/* Takes the text up to a separator off the front of a list. */
+/* Removes the first item of a list, with the separator that follows it, and returns the item. */
 std::string_view TakeItem(std::string_view& aList, char aSeparator)
 {
   const auto end = aList.find(aSeparator);
@@ -46,7 +47,7 @@
     const auto id = ParseWhole<std::uint64_t>(TakeItem(item, ':'), 16);
     const auto tokens = ParseWhole<std::uint32_t>(item);
     if (!id || !tokens) {
-      break; // What follows an unreadable part cannot be shared either.
+      break; // Only prefixes can be reused, so the parts after an invalid one are of no use.
     }
     parts.push_back({ .id = *id, .tokens = *tokens });
   }
--- a/src/platform/request_headers.h
+++ b/src/platform/request_headers.h
@@ -1,4 +1,4 @@
-/* Decodes the header fields of clients' requests and endpoints' answers, and sets our own. */
+/* Decodes and encodes the header fields of clients' requests and endpoints' answers. */
 #ifndef RHUBARBTRAIL_PLATFORM_REQUEST_HEADERS_H
 #define RHUBARBTRAIL_PLATFORM_REQUEST_HEADERS_H
 
@@ -11,55 +11,61 @@
 
 namespace rhubarbtrail::platform {
 
-/* What a client's header fields say. */
+/* The header fields of a client's request that the daemon uses. */
 struct ClientRequest
 {
   std::string requestId;
-  std::optional<Duration> timeLeft; ///< How long the client will wait.
-  std::optional<fleet::ModelWork> work;
+  std::optional<Duration> timeLeft;     ///< Until the client's deadline. At most 24 h.
+  std::optional<fleet::ModelWork> work; ///< Set if the request names a model.
   std::string lastEventId;
 };
 
+/* Decodes a client's header fields. Invalid values are ignored, as if they were missing. */
 ClientRequest DecodeClientRequest(const http::Request& aRequest);
 
-/* What is set on a request to an endpoint, besides what the client sent. */
+/* Values of the header fields that the daemon adds to a client's request. */
 struct ForwardOptions
 {
   EndpointId endpoint;
   Duration timeLeft{};
   std::uint32_t priority = 0;
   bool hasPriority = false;
-  std::string lastEventId; ///< Of a stream that goes on; empty: as the client sent it.
+  std::string lastEventId; ///< Of a stream that is resumed. If empty, the client's field stays.
 };
 
-/* Returns the client's request as it goes to an endpoint. */
+/* Returns the request to send to an endpoint: the client's, with the given values added. Fields
+ * that concern only the client's connection or the framing are left out, and so are those that only
+ * a daemon may set. */
 http::Request EncodeForward(const http::Request& aRequest, const ForwardOptions& aOptions);
 
-/* What an endpoint's header fields say. */
+/* The header fields of an endpoint's answer that the daemon uses. */
 struct EndpointAnswer
 {
   std::string requestId;
-  bool isSigned = false;  ///< It carries the endpoint's signature.
-  bool isNotRun = false;  ///< The endpoint states that it has not run the request.
-  bool isEncoded = false; ///< The body is not the endpoint's own.
+  bool isSigned = false;  ///< The answer has a signature. It is not verified.
+  bool isNotRun = false;  ///< The endpoint has not run the request, by its own statement or because
+                          ///< the request was addressed to another endpoint (status 421).
+  bool isEncoded = false; ///< The body has a content encoding, for example compression.
   std::optional<fleet::EndpointLoad> load;
 };
 
+/* Decodes the header fields of an endpoint's answer. A load that is invalid is left out. */
 EndpointAnswer DecodeEndpointAnswer(const http::AnswerHead& aHead);
 
-/* Returns the answer as it goes to the client. */
+/* Returns the header to send to the client: the endpoint's without its load and without fields that
+ * concern only its connection or the framing. */
 http::AnswerHead EncodeAnswer(const http::AnswerHead& aHead);
 
-/* Returns an answer of our own. Its status and body carry the result; a retry time above zero is
- * added. */
+/* Returns the header of an answer that the daemon itself gives, with a JSON body. A retry time
+ * above zero is sent as well, in seconds with three decimals. */
 http::AnswerHead EncodeOwnAnswer(unsigned aStatus,
                                  const std::string& aRequestId,
                                  Duration aRetryAfter);
 
-/* Returns whether a request is the balancer's question whether new connections are welcome. */
+/* Returns whether a request is the balancer's readiness check. */
 bool IsReadinessCheck(const http::Request& aRequest);
 
-/* Returns the id of a stream's event, or an empty text. */
+/* Returns the id of a server-sent event, or an empty string if it has none. */
 std::string EventId(std::string_view aEvent);
 
 } // namespace rhubarbtrail::platform
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -1,4 +1,4 @@
-/* Decodes what runners say of themselves, and encodes orders to them. */
+/* Decodes runners' entries and reports, and encodes orders to runners. */
 #include "platform/runner_decoder.h"
 
 #include "platform/json_reader.h"
@@ -10,12 +10,13 @@
 
 namespace {
 
-/* Splits MODEL/ADAPTER@VERSION, the form in which arriving adapters are listed. */
+/* Decodes MODEL/ADAPTER or MODEL/ADAPTER@VERSION, as adapters that are being loaded are listed. The
+ * version is dropped. */
 fleet::ModelRef DecodeArriving(const std::string& aText)
 {
   const auto slash = aText.find('/');
   if (slash == std::string::npos) {
-    throw DecodeError("an arriving adapter has no model");
+    throw DecodeError("coming has an adapter without its model");
   }
   return { .model = ModelId{ aText.substr(0, slash) },
            .adapter = AdapterId{ aText.substr(slash + 1, aText.find('@') - slash - 1) } };
@@ -29,7 +30,7 @@
   }
   for (const Json& item : List(aObject, aName)) {
     if (!item.is_string()) {
-      throw DecodeError(std::string{ aName } + " holds something else than names");
+      throw DecodeError(std::string{ aName } + " has an item that is not a string");
     }
     names.insert(ModelId{ item.get<std::string>() });
   }
@@ -47,9 +48,9 @@
       }
       for (const Json& adapter : List(item, "adapters")) {
         if (!adapter.is_string()) {
-          throw DecodeError("adapters holds something else than names");
+          throw DecodeError("adapters has an item that is not a string");
         }
-        // An adapter may be followed by its version.
+        // The name may be followed by "@" and a version, which is dropped.
         const std::string name = adapter.get<std::string>();
         adapters.insert(AdapterId{ name.substr(0, name.find('@')) });
       }
@@ -83,7 +84,7 @@
   return static_cast<std::int64_t>(WholeOr(aObject, "born", 0));
 }
 
-/* Runs a decoder and turns what it throws into an error value. */
+/* Runs a decoder and returns its result, or the message of the exception that it throws. */
 template<typename Result, typename Decoder>
 tl::expected<Result, std::string> Guard(const Decoder& aDecoder)
 {
@@ -125,7 +126,8 @@
     if (document.contains("remainingMs")) {
       entry.leavesIn = MillisecondsOf(Number(document, "remainingMs"));
     }
-    // "seq" is left out: in an entry it counts writes of the entry, in a report accepted orders.
+    // "seq" is not read here. In an entry it counts the writes of the entry, and only in a report
+    // the accepted orders.
     entry.startedAtMs = DecodeStart(document);
     entry.holdings = DecodeHoldings(document);
     return entry;
@@ -165,7 +167,7 @@
              { "model", aOrder.subject.model.str() },
              { "holder", aOrder.holder },
              { "fencingToken", aOrder.fence.value },
-             { "expectedRev", aOrder.expectedOrderCount } }; // Compared with the order count.
+             { "expectedRev", aOrder.expectedOrderCount } }; // The runner's order count.
   if (!aOrder.subject.adapter.empty()) {
     body["adapter"] = aOrder.subject.adapter.str();
   }
--- a/src/platform/runner_decoder.h
+++ b/src/platform/runner_decoder.h
@@ -1,4 +1,4 @@
-/* Decodes what runners say of themselves, and encodes orders to them. */
+/* Decodes runners' entries and reports, and encodes orders to runners. */
 #ifndef RHUBARBTRAIL_PLATFORM_RUNNER_DECODER_H
 #define RHUBARBTRAIL_PLATFORM_RUNNER_DECODER_H
 
@@ -11,20 +11,21 @@
 
 namespace rhubarbtrail::platform {
 
-/* Returns the entry that a runner keeps in the platform's list. Anyone may have written the row,
- * so each member is checked. */
+/* Decodes the row of a runner in the runner table, or returns an error message. Each member that is
+ * used is checked, because any process may have written the row. */
 tl::expected<fleet::RunnerEntry, std::string> DecodeRunnerEntry(const std::string& aId,
                                                                 const std::string& aDocument);
 
+/* Decodes a runner's report, or returns an error message. */
 tl::expected<fleet::RunnerReport, std::string> DecodeRunnerReport(const std::string& aDocument);
 
-/* Returns the call that asks a runner for its report. */
+/* Returns the HTTP request for a runner's report. */
 http::Request EncodeReportCall(const EndpointId& aRunner);
 
-/* Returns the call that gives a runner an order. */
+/* Returns the HTTP request that sends an order to a runner. */
 http::Request EncodeOrder(const fleet::RunnerOrder& aOrder);
 
-/* Returns what a runner's answer to an order means. */
+/* Returns the outcome of an order from the HTTP status of the runner's answer. */
 fleet::OrderOutcome DecodeOrderAnswer(unsigned aStatus);
 
 } // namespace rhubarbtrail::platform
--- a/src/platform/store_codec.cpp
+++ b/src/platform/store_codec.cpp
@@ -1,4 +1,4 @@
-/* Encodes calls to the platform's store of rows, and decodes its answers. */
+/* Encodes calls to the platform's row store and decodes its answers. */
 #include "platform/store_codec.h"
 
 #include "platform/json_reader.h"
@@ -13,7 +13,7 @@
 
 std::string ToBase64(const std::string& aBytes)
 {
-  std::string text(4 * ((aBytes.size() + 2) / 3) + 1, '\0'); // One more for the closing zero.
+  std::string text(4 * ((aBytes.size() + 2) / 3) + 1, '\0'); // Plus a terminating zero.
   const int length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                                      reinterpret_cast<const unsigned char*>(aBytes.data()),
                                      static_cast<int>(aBytes.size()));
@@ -21,7 +21,7 @@
   return text;
 }
 
-/* Decodes base64; throws DecodeError. */
+/* Decodes base64. Throws DecodeError if the text is invalid. */
 std::string FromBase64(const std::string& aText)
 {
   if (aText.empty()) {
@@ -62,7 +62,7 @@
   const Json key{ { "table", aWrite.table }, { "part", "" }, { "key", aWrite.key } };
   Json condition = key;
   condition["ver"] = aWrite.expected.value;
-  // The member with the name of a revision holds the rows that must be unchanged.
+  // Despite its name, this member is the list of the row versions that the write requires.
   Json body{ { "expectedRev", Json::array({ condition }) },
              { "setKeys", Json::array() },
              { "remove", Json::array() } };
--- a/src/platform/store_codec.h
+++ b/src/platform/store_codec.h
@@ -1,4 +1,4 @@
-/* Encodes calls to the platform's store of rows, and decodes its answers. */
+/* Encodes calls to the platform's row store and decodes its answers. */
 #ifndef RHUBARBTRAIL_PLATFORM_STORE_CODEC_H
 #define RHUBARBTRAIL_PLATFORM_STORE_CODEC_H
 
@@ -13,36 +13,41 @@
 
 namespace rhubarbtrail::platform {
 
-/* A row with its value decoded. */
+/* A row of the store. The value is decoded from base64. */
 struct StoreRow
 {
   std::string table;
   std::string key;
   std::string value;
-  RowVersion version; ///< 0: absent.
+  RowVersion version; ///< 0: the row does not exist, or the store gave no version.
   bool isRemoved = false;
 };
 
-/* Writes one row, or removes it when there is no value, if it still has a version. */
+/* A conditional write of one row. Without a value it removes the row. */
 struct StoreWrite
 {
   std::string table;
   std::string key;
   std::optional<std::string> value;
-  RowVersion expected; ///< 0: the row must be absent.
+  RowVersion expected; ///< Version that the row must have. 0: it must not exist.
 };
 
-/* What the store answers about rows. */
+/* An answer of the store to a read, a watch or a write. */
 struct StoreAnswer
 {
   std::vector<StoreRow> rows;
-  RowVersion newest; ///< Of the whole store at the time of the answer.
-  bool isTruncated = false;
+  RowVersion newest;        ///< Newest version in the whole store at the time of the answer.
+  bool isTruncated = false; ///< The table has more rows after the last one.
 };
 
 http::Request EncodeWrite(const StoreWrite& aWrite);
+/* Reads the rows of a table from a key on, or all rows if the key is empty. The key becomes part of
+ * the URL as it is, so it must be percent-encoded. */
 http::Request EncodeRead(const std::string& aTable, const std::string& aFirstKey);
+/* Requests the changes of a table after a version. If there are none, the store waits for up to
+ * aWait before it answers. */
 http::Request EncodeWatch(const std::string& aTable, RowVersion aAfter, Duration aWait);
+/* Decodes an answer of the store, or returns an error message. */
 tl::expected<StoreAnswer, std::string> DecodeStoreAnswer(const std::string& aBody);
 
 } // namespace rhubarbtrail::platform
--- a/src/platform/wire_names.h
+++ b/src/platform/wire_names.h
@@ -1,4 +1,4 @@
-/* The platform's names on the wire: header fields and paths. */
+/* The platform's names on the wire: header fields, paths, tables and row keys. */
 #ifndef RHUBARBTRAIL_PLATFORM_WIRE_NAMES_H
 #define RHUBARBTRAIL_PLATFORM_WIRE_NAMES_H
 
@@ -10,7 +10,7 @@
 constexpr std::string_view kRequestId = "X-Request-Id";
 constexpr std::string_view kDeadline = "X-Deadline-Ms";
 constexpr std::string_view kModel = "X-Model";
-constexpr std::string_view kTokens = "X-Token-Usage";        ///< Tokens asked for, not used so far.
+constexpr std::string_view kTokens = "X-Token-Usage";        ///< Tokens requested, not used so far.
 constexpr std::string_view kPromptParts = "X-Prompt-Prefix"; ///< All parts, not only a prefix.
 constexpr std::string_view kLengthHint = "X-Length-Hint";
 constexpr std::string_view kLastEventId = "Last-Event-Id";
@@ -43,7 +43,7 @@
 constexpr std::string_view kRunners = "servers";
 } // namespace table
 
-/* The row of the operator's table that holds the newest configuration. */
+/* Key of the row in the operators' table that holds the newest configuration. */
 constexpr std::string_view kConfigurationKey = "config";
 
 } // namespace rhubarbtrail::platform
