--- a/src/platform/configuration_decoder.cpp
+++ b/src/platform/configuration_decoder.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-fleet::RouteKind DecodeKind(const std::string& aWord)
+fleet::RouteKind DecodeKind(const std::string& aText)
 {
-  if (aWord == "idempotent") {
+  if (aText == "idempotent") {
     return fleet::RouteKind::kIdempotent;
   }
-  if (aWord == "streaming") {
+  if (aText == "streaming") {
     return fleet::RouteKind::kStream;
   }
   // Any other kind, also one that this version does not know, is treated as the strictest one.
@@ -24,54 +24,59 @@
 fleet::Route DecodeRoute(const Json& aRoute)
 {
   fleet::Route route;
-  route.name = Text(aRoute, "name");
-  route.host = Text(aRoute, "host");
-  route.prefix = Text(aRoute, "prefix");
-  route.kind = DecodeKind(Text(aRoute, "kind"));
-  route.isResumable = route.kind == fleet::RouteKind::kStream && FlagOr(aRoute, "resumable", false);
-  route.timeout = MillisecondsOf(NumberOr(aRoute, "timeoutMs", 0.0));
-  route.latencyObjective = MillisecondsOf(NumberOr(aRoute, "targetLatencyMs", 0.0));
-  route.eventGapObjective = MillisecondsOf(NumberOr(aRoute, "gapAimMs", 0.0));
-  route.priority = static_cast<std::uint32_t>(WholeOr(aRoute, "priority", 0));
-  route.maxAttempts =
-    std::max<std::uint32_t>(1, static_cast<std::uint32_t>(WholeOr(aRoute, "maxAttempts", 1)));
+  route.name = StringMember(aRoute, "name");
+  route.host = StringMember(aRoute, "host");
+  route.prefix = StringMember(aRoute, "prefix");
+  route.kind = DecodeKind(StringMember(aRoute, "kind"));
+  route.isResumable =
+    route.kind == fleet::RouteKind::kStream && BoolMemberOr(aRoute, "resumable", false);
+  route.timeout = FromMilliseconds(NumberMemberOr(aRoute, "timeoutMs", 0.0));
+  route.latencyObjective = FromMilliseconds(NumberMemberOr(aRoute, "targetLatencyMs", 0.0));
+  route.eventGapObjective = FromMilliseconds(NumberMemberOr(aRoute, "gapAimMs", 0.0));
+  route.priority = static_cast<std::uint32_t>(UnsignedMemberOr(aRoute, "priority", 0));
+  route.maxAttempts = std::max<std::uint32_t>(
+    1, static_cast<std::uint32_t>(UnsignedMemberOr(aRoute, "maxAttempts", 1)));
   // A route names either one service or several services with weights.
   if (aRoute.contains("weightedBackends")) {
-    for (const Json& share : List(aRoute, "weightedBackends")) {
-      route.services.push_back({ .service = ServiceId{ Text(share, "backend") },
-                                 .weight = static_cast<std::uint32_t>(Whole(share, "weight")) });
+    for (const Json& share : ArrayMember(aRoute, "weightedBackends")) {
+      route.services.push_back(
+        { .service = ServiceId{ StringMember(share, "backend") },
+          .weight = static_cast<std::uint32_t>(UnsignedMember(share, "weight")) });
     }
   } else {
-    route.services.push_back({ .service = ServiceId{ Text(aRoute, "backend") }, .weight = 1 });
+    route.services.push_back(
+      { .service = ServiceId{ StringMember(aRoute, "backend") }, .weight = 1 });
   }
   return route;
 }
 
 fleet::Model DecodeModel(const Json& aModel)
 {
-  const double storeLoadS = NumberOr(aModel, "loadTimeS", 0.0);
+  const double storeLoadSeconds = NumberMemberOr(aModel, "loadTimeS", 0.0);
   return {
-    .id = ModelId{ Text(aModel, "name") },
-    .weights = { static_cast<std::int64_t>(std::ceil(Number(aModel, "weightsMb"))) },
-    .adapterWeights = { static_cast<std::int64_t>(std::ceil(NumberOr(aModel, "adapterMb", 0.0))) },
-    .adapters = static_cast<std::uint32_t>(WholeOr(aModel, "adapters", 0)), // A count, not a list.
-    .storeLoadTime = SecondsOf(storeLoadS),
-    .memoryLoadTime = SecondsOf(NumberOr(aModel, "warmS", storeLoadS)),
-    .diskLoadTime = SecondsOf(NumberOr(aModel, "diskS", storeLoadS)),
+    .id = ModelId{ StringMember(aModel, "name") },
+    .weights = { static_cast<std::int64_t>(std::ceil(NumberMember(aModel, "weightsMb"))) },
+    .adapterWeights = { static_cast<std::int64_t>(
+      std::ceil(NumberMemberOr(aModel, "adapterMb", 0.0))) },
+    .adapters =
+      static_cast<std::uint32_t>(UnsignedMemberOr(aModel, "adapters", 0)), // A count, not a list.
+    .storeLoadTime = FromSeconds(storeLoadSeconds),
+    .memoryLoadTime = FromSeconds(NumberMemberOr(aModel, "warmS", storeLoadSeconds)),
+    .diskLoadTime = FromSeconds(NumberMemberOr(aModel, "diskS", storeLoadSeconds)),
   };
 }
 
 fleet::Engine DecodeEngine(const Json& aEngine)
 {
   fleet::Engine engine{
-    .slots = static_cast<std::uint32_t>(WholeOr(aEngine, "slots", 1)),
-    .cacheTokens = WholeOr(aEngine, "kvTokens", 0),
-    .weights = { static_cast<std::int64_t>(NumberOr(aEngine, "weightsMb", 0.0)) },
-    .adapterSlots = static_cast<std::uint32_t>(WholeOr(aEngine, "adapterSlots", 0)),
-    .loadsPerSecond = NumberOr(aEngine, "loadsPerS", 0.0),
+    .slots = static_cast<std::uint32_t>(UnsignedMemberOr(aEngine, "slots", 1)),
+    .cacheTokens = UnsignedMemberOr(aEngine, "kvTokens", 0),
+    .weights = { static_cast<std::int64_t>(NumberMemberOr(aEngine, "weightsMb", 0.0)) },
+    .adapterSlots = static_cast<std::uint32_t>(UnsignedMemberOr(aEngine, "adapterSlots", 0)),
+    .loadsPerSecond = NumberMemberOr(aEngine, "loadsPerS", 0.0),
     .models = {},
   };
-  for (const Json& item : List(aEngine, "models")) {
+  for (const Json& item : ArrayMember(aEngine, "models")) {
     fleet::Model model = DecodeModel(item);
     const ModelId id = model.id;
     engine.models.emplace(id, std::move(model));
@@ -82,7 +87,7 @@
 fleet::Service DecodeService(const Json& aService)
 {
   fleet::Service service;
-  service.id = ServiceId{ Text(aService, "name") };
+  service.id = ServiceId{ StringMember(aService, "name") };
   if (const auto engine = aService.find("engine");
       engine != aService.end() && engine->is_object() && engine->contains("models")) {
     service.engine = DecodeEngine(*engine);
@@ -92,15 +97,15 @@
 
 fleet::ClientLimits DecodeLimits(const Json& aLimits)
 {
-  const fleet::ClientLimits standard;
+  const fleet::ClientLimits defaults;
   return {
     .headerBytes =
-      static_cast<std::uint32_t>(WholeOr(aLimits, "maxHeaderBytes", standard.headerBytes)),
-    .bodyBytes = WholeOr(aLimits, "maxBodyBytes", standard.bodyBytes),
-    .headerTime = MillisecondsOf(
-      NumberOr(aLimits, "headerTimeoutMs", static_cast<double>(standard.headerTime.count()) / 1e3)),
-    .idleTime = MillisecondsOf(
-      NumberOr(aLimits, "idleTimeoutMs", static_cast<double>(standard.idleTime.count()) / 1e3)),
+      static_cast<std::uint32_t>(UnsignedMemberOr(aLimits, "maxHeaderBytes", defaults.headerBytes)),
+    .bodyBytes = UnsignedMemberOr(aLimits, "maxBodyBytes", defaults.bodyBytes),
+    .headerTime = FromMilliseconds(NumberMemberOr(
+      aLimits, "headerTimeoutMs", static_cast<double>(defaults.headerTime.count()) / 1e3)),
+    .idleTime = FromMilliseconds(NumberMemberOr(
+      aLimits, "idleTimeoutMs", static_cast<double>(defaults.idleTime.count()) / 1e3)),
   };
 }
 
@@ -112,13 +117,13 @@
   try {
     const Json document = ParseJson(aDocument);
     fleet::FleetConfiguration configuration;
-    configuration.version = { Whole(document, "version") };
-    for (const Json& item : List(document, "services")) {
+    configuration.version = { UnsignedMember(document, "version") };
+    for (const Json& item : ArrayMember(document, "services")) {
       fleet::Service service = DecodeService(item);
       const ServiceId id = service.id;
       configuration.services.emplace(id, std::move(service));
     }
-    for (const Json& item : List(document, "routes")) {
+    for (const Json& item : ArrayMember(document, "routes")) {
       fleet::Route route = DecodeRoute(item);
       const std::string host = route.host;
       configuration.routesByHost[host].push_back(std::move(route));
--- a/src/platform/json_reader.h
+++ b/src/platform/json_reader.h
@@ -33,7 +33,7 @@
 }
 
 /* Returns a member. Throws DecodeError if it is missing or the value is not an object. */
-inline const Json& Member(const Json& aObject, const char* aName)
+inline const Json& RequiredMember(const Json& aObject, const char* aName)
 {
   const auto found = aObject.find(aName);
   if (!aObject.is_object() || found == aObject.end()) {
@@ -42,9 +42,9 @@
   return *found;
 }
 
-inline const std::string& Text(const Json& aObject, const char* aName)
+inline const std::string& StringMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_string()) {
     throw DecodeError(std::string{ aName } + " is not a string");
   }
@@ -52,24 +52,24 @@
 }
 
 /* Returns a finite number of 0 or more. Throws DecodeError for any other value. */
-inline double Number(const Json& aObject, const char* aName)
+inline double NumberMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_number() || !(value.get<double>() >= 0.0) || !std::isfinite(value.get<double>())) {
     throw DecodeError(std::string{ aName } + " is not a number of 0 or more");
   }
   return value.get<double>();
 }
 
-inline double NumberOr(const Json& aObject, const char* aName, double aDefault)
+inline double NumberMemberOr(const Json& aObject, const char* aName, double aDefault)
 {
-  return aObject.contains(aName) ? Number(aObject, aName) : aDefault;
+  return aObject.contains(aName) ? NumberMember(aObject, aName) : aDefault;
 }
 
 /* Returns an integer of 0 or more. Throws DecodeError for any other value. */
-inline std::uint64_t Whole(const Json& aObject, const char* aName)
+inline std::uint64_t UnsignedMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_number_integer() ||
       (value.is_number_integer() && !value.is_number_unsigned() && value.get<std::int64_t>() < 0)) {
     throw DecodeError(std::string{ aName } + " is not an integer of 0 or more");
@@ -77,12 +77,14 @@
   return value.get<std::uint64_t>();
 }
 
-inline std::uint64_t WholeOr(const Json& aObject, const char* aName, std::uint64_t aDefault)
+inline std::uint64_t UnsignedMemberOr(const Json& aObject,
+                                      const char* aName,
+                                      std::uint64_t aDefault)
 {
-  return aObject.contains(aName) ? Whole(aObject, aName) : aDefault;
+  return aObject.contains(aName) ? UnsignedMember(aObject, aName) : aDefault;
 }
 
-inline bool FlagOr(const Json& aObject, const char* aName, bool aDefault)
+inline bool BoolMemberOr(const Json& aObject, const char* aName, bool aDefault)
 {
   const auto found = aObject.find(aName);
   if (found == aObject.end()) {
@@ -94,21 +96,21 @@
   return found->get<bool>();
 }
 
-inline const Json& List(const Json& aObject, const char* aName)
+inline const Json& ArrayMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_array()) {
     throw DecodeError(std::string{ aName } + " is not an array");
   }
   return value;
 }
 
-inline Duration MillisecondsOf(double aValue)
+inline Duration FromMilliseconds(double aValue)
 {
   return Duration{ static_cast<Duration::rep>(aValue * 1e3) };
 }
 
-inline Duration SecondsOf(double aValue)
+inline Duration FromSeconds(double aValue)
 {
   return Duration{ static_cast<Duration::rep>(aValue * 1e6) };
 }
--- a/src/platform/request_headers.cpp
+++ b/src/platform/request_headers.cpp
@@ -14,14 +14,15 @@
 
 /* Fields that only a daemon may set on a request to an endpoint. Those that a client sends are
  * dropped. */
-constexpr std::array kOwnFields{ field::kTarget,    field::kPriority,      field::kHold,
-                                 field::kPin,       field::kBackup,        field::kResumeFrom,
-                                 field::kFetchFrom, field::kExpectVersion, field::kDeadline };
+constexpr std::array kDaemonOnlyFields{
+  field::kTarget,     field::kPriority,  field::kHold,          field::kPin,     field::kBackup,
+  field::kResumeFrom, field::kFetchFrom, field::kExpectVersion, field::kDeadline
+};
 
-template<typename Whole>
-std::optional<Whole> ParseWhole(std::string_view aText, int aBase = 10)
+template<typename Integer>
+std::optional<Integer> ParseInteger(std::string_view aText, int aBase = 10)
 {
-  Whole value{};
+  Integer value{};
   const auto [end, error] =
     std::from_chars(aText.data(), aText.data() + aText.size(), value, aBase);
   if (error != std::errc{} || end != aText.data() + aText.size()) {
@@ -31,7 +32,7 @@
 }
 
 /* Removes the first item of a list, with the separator that follows it, and returns the item. */
-std::string_view TakeItem(std::string_view& aList, char aSeparator)
+std::string_view RemoveFirstItem(std::string_view& aList, char aSeparator)
 {
   const auto end = aList.find(aSeparator);
   const std::string_view item = aList.substr(0, end);
@@ -43,9 +44,9 @@
 {
   std::vector<fleet::PromptPart> parts;
   while (!aList.empty()) {
-    std::string_view item = TakeItem(aList, ',');
-    const auto id = ParseWhole<std::uint64_t>(TakeItem(item, ':'), 16);
-    const auto tokens = ParseWhole<std::uint32_t>(item);
+    std::string_view item = RemoveFirstItem(aList, ',');
+    const auto id = ParseInteger<std::uint64_t>(RemoveFirstItem(item, ':'), 16);
+    const auto tokens = ParseInteger<std::uint32_t>(item);
     if (!id || !tokens) {
       break; // Only prefixes can be reused, so the parts after an invalid one are of no use.
     }
@@ -54,7 +55,7 @@
   return parts;
 }
 
-std::optional<fleet::ModelWork> DecodeWork(const http::Fields& aFields)
+std::optional<fleet::ModelWork> DecodeModelWork(const http::Fields& aFields)
 {
   const auto model = http::Find(aFields, field::kModel);
   if (!model) {
@@ -62,11 +63,11 @@
   }
   fleet::ModelWork work;
   std::string_view name = *model;
-  work.target.model = ModelId{ std::string{ TakeItem(name, '/') } };
+  work.target.model = ModelId{ std::string{ RemoveFirstItem(name, '/') } };
   work.target.adapter = AdapterId{ std::string{ name } };
   if (auto tokens = http::Find(aFields, field::kTokens)) {
-    work.promptTokens = ParseWhole<std::uint32_t>(TakeItem(*tokens, ',')).value_or(0);
-    work.outputTokens = ParseWhole<std::uint32_t>(*tokens).value_or(0);
+    work.promptTokens = ParseInteger<std::uint32_t>(RemoveFirstItem(*tokens, ',')).value_or(0);
+    work.outputTokens = ParseInteger<std::uint32_t>(*tokens).value_or(0);
   }
   if (const auto parts = http::Find(aFields, field::kPromptParts)) {
     work.parts = DecodeParts(*parts);
@@ -74,11 +75,12 @@
   return work;
 }
 
-bool IsOwnField(std::string_view aName)
+bool IsDaemonOnlyField(std::string_view aName)
 {
-  return std::any_of(kOwnFields.begin(), kOwnFields.end(), [&](std::string_view aOwn) {
-    return http::IsSameName(aOwn, aName);
-  });
+  return std::any_of(
+    kDaemonOnlyFields.begin(), kDaemonOnlyFields.end(), [&](std::string_view aDaemonField) {
+      return http::IsSameName(aDaemonField, aName);
+    });
 }
 
 bool IsFramingField(std::string_view aName)
@@ -93,11 +95,11 @@
   ClientRequest decoded;
   decoded.requestId = std::string{ http::Find(aRequest.fields, field::kRequestId).value_or("") };
   if (const auto deadline = http::Find(aRequest.fields, field::kDeadline)) {
-    if (const auto value = ParseWhole<std::int64_t>(*deadline); value && *value >= 0) {
+    if (const auto value = ParseInteger<std::int64_t>(*deadline); value && *value >= 0) {
       decoded.timeLeft = std::chrono::milliseconds{ std::min<std::int64_t>(*value, 86'400'000) };
     }
   }
-  decoded.work = DecodeWork(aRequest.fields);
+  decoded.work = DecodeModelWork(aRequest.fields);
   decoded.lastEventId =
     std::string{ http::Find(aRequest.fields, field::kLastEventId).value_or("") };
   return decoded;
@@ -113,7 +115,7 @@
     const bool isReplaced =
       !aOptions.lastEventId.empty() && http::IsSameName(item.name, field::kLastEventId);
     if (http::IsConnectionField(aRequest.fields, item.name) || IsFramingField(item.name) ||
-        IsOwnField(item.name) || isReplaced) {
+        IsDaemonOnlyField(item.name) || isReplaced) {
       continue;
     }
     forward.fields.push_back(item);
@@ -145,9 +147,9 @@
   const auto encoding = http::Find(aHead.fields, field::kContentEncoding);
   answer.isEncoded = encoding && !http::IsSameName(*encoding, "identity");
   if (auto load = http::Find(aHead.fields, field::kLoad)) {
-    const auto running = ParseWhole<std::uint32_t>(TakeItem(*load, ','));
-    const auto waiting = ParseWhole<std::uint32_t>(TakeItem(*load, ','));
-    const auto slots = ParseWhole<std::uint32_t>(*load);
+    const auto running = ParseInteger<std::uint32_t>(RemoveFirstItem(*load, ','));
+    const auto waiting = ParseInteger<std::uint32_t>(RemoveFirstItem(*load, ','));
+    const auto slots = ParseInteger<std::uint32_t>(*load);
     if (running && waiting && slots) {
       answer.load = { .running = *running, .waiting = *waiting, .slots = *slots };
     }
@@ -192,7 +194,7 @@
 std::string EventId(std::string_view aEvent)
 {
   while (!aEvent.empty()) {
-    std::string_view line = TakeItem(aEvent, '\n');
+    std::string_view line = RemoveFirstItem(aEvent, '\n');
     if (!line.starts_with("id:")) {
       continue;
     }
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -12,7 +12,7 @@
 
 /* Decodes MODEL/ADAPTER or MODEL/ADAPTER@VERSION, as adapters that are being loaded are listed. The
  * version is dropped. */
-fleet::ModelRef DecodeArriving(const std::string& aText)
+fleet::ModelRef DecodeLoadingAdapter(const std::string& aText)
 {
   const auto slash = aText.find('/');
   if (slash == std::string::npos) {
@@ -28,7 +28,7 @@
   if (!aObject.contains(aName)) {
     return names;
   }
-  for (const Json& item : List(aObject, aName)) {
+  for (const Json& item : ArrayMember(aObject, aName)) {
     if (!item.is_string()) {
       throw DecodeError(std::string{ aName } + " has an item that is not a string");
     }
@@ -41,12 +41,12 @@
 {
   fleet::RunnerHoldings holdings;
   if (aObject.contains("models")) {
-    for (const Json& item : List(aObject, "models")) {
-      std::set<AdapterId>& adapters = holdings.models[ModelId{ Text(item, "name") }];
+    for (const Json& item : ArrayMember(aObject, "models")) {
+      std::set<AdapterId>& adapters = holdings.models[ModelId{ StringMember(item, "name") }];
       if (!item.contains("adapters")) {
         continue;
       }
-      for (const Json& adapter : List(item, "adapters")) {
+      for (const Json& adapter : ArrayMember(item, "adapters")) {
         if (!adapter.is_string()) {
           throw DecodeError("adapters has an item that is not a string");
         }
@@ -57,8 +57,8 @@
     }
   }
   if (aObject.contains("coming")) {
-    for (const Json& item : List(aObject, "coming")) {
-      holdings.loadingAdapters.insert(DecodeArriving(item.get<std::string>()));
+    for (const Json& item : ArrayMember(aObject, "coming")) {
+      holdings.loadingAdapters.insert(DecodeLoadingAdapter(item.get<std::string>()));
     }
   }
   if (const auto copies = aObject.find("atHand"); copies != aObject.end()) {
@@ -68,25 +68,25 @@
   return holdings;
 }
 
-fleet::RunnerState DecodeState(const std::string& aWord)
+fleet::RunnerState DecodeState(const std::string& aState)
 {
-  if (aWord == "ready") {
+  if (aState == "ready") {
     return fleet::RunnerState::kReady;
   }
-  if (aWord == "draining") {
+  if (aState == "draining") {
     return fleet::RunnerState::kDraining;
   }
-  throw DecodeError("state is unknown: " + aWord);
+  throw DecodeError("state is unknown: " + aState);
 }
 
-std::int64_t DecodeStart(const Json& aObject)
+std::int64_t DecodeStartTime(const Json& aObject)
 {
-  return static_cast<std::int64_t>(WholeOr(aObject, "born", 0));
+  return static_cast<std::int64_t>(UnsignedMemberOr(aObject, "born", 0));
 }
 
 /* Runs a decoder and returns its result, or the message of the exception that it throws. */
 template<typename Result, typename Decoder>
-tl::expected<Result, std::string> Guard(const Decoder& aDecoder)
+tl::expected<Result, std::string> CatchDecodeErrors(const Decoder& aDecoder)
 {
   try {
     return aDecoder();
@@ -97,7 +97,7 @@
   }
 }
 
-bool IsAddress(const std::string& aText)
+bool IsHostAndPort(const std::string& aText)
 {
   const auto colon = aText.rfind(':');
   return colon != std::string::npos && colon > 0 && colon + 1 < aText.size() &&
@@ -111,24 +111,25 @@
 tl::expected<fleet::RunnerEntry, std::string> DecodeRunnerEntry(const std::string& aId,
                                                                 const std::string& aDocument)
 {
-  return Guard<fleet::RunnerEntry>([&] {
+  return CatchDecodeErrors<fleet::RunnerEntry>([&] {
     const Json document = ParseJson(aDocument);
     fleet::RunnerEntry entry;
     entry.id = EndpointId{ aId };
-    entry.service = ServiceId{ Text(document, "backend") };
-    entry.zone = ZoneId{ Text(document, "zone") };
-    entry.address = Text(document, "address");
-    if (!IsAddress(entry.address)) {
+    entry.service = ServiceId{ StringMember(document, "backend") };
+    entry.zone = ZoneId{ StringMember(document, "zone") };
+    entry.address = StringMember(document, "address");
+    if (!IsHostAndPort(entry.address)) {
       throw DecodeError("address is not HOST:PORT");
     }
-    entry.slots = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(Whole(document, "slots")));
-    entry.state = DecodeState(Text(document, "state"));
+    entry.slots =
+      std::max<std::uint32_t>(1, static_cast<std::uint32_t>(UnsignedMember(document, "slots")));
+    entry.state = DecodeState(StringMember(document, "state"));
     if (document.contains("remainingMs")) {
-      entry.leavesIn = MillisecondsOf(Number(document, "remainingMs"));
+      entry.leavesIn = FromMilliseconds(NumberMember(document, "remainingMs"));
     }
     // "seq" is not read here. In an entry it counts the writes of the entry, and only in a report
     // the accepted orders.
-    entry.startedAtMs = DecodeStart(document);
+    entry.startedAtMs = DecodeStartTime(document);
     entry.holdings = DecodeHoldings(document);
     return entry;
   });
@@ -136,16 +137,17 @@
 
 tl::expected<fleet::RunnerReport, std::string> DecodeRunnerReport(const std::string& aDocument)
 {
-  return Guard<fleet::RunnerReport>([&] {
+  return CatchDecodeErrors<fleet::RunnerReport>([&] {
     const Json document = ParseJson(aDocument);
     fleet::RunnerReport report;
-    report.isBusy = FlagOr(document, "busy", false);
-    report.orderCount = WholeOr(document, "seq", 0); // Accepted orders, unlike in an entry.
-    report.startedAtMs = DecodeStart(document);
-    report.running = static_cast<std::uint32_t>(WholeOr(document, "running", 0));
-    report.waiting = static_cast<std::uint32_t>(WholeOr(document, "waiting", 0));
+    report.isBusy = BoolMemberOr(document, "busy", false);
+    report.orderCount =
+      UnsignedMemberOr(document, "seq", 0); // Accepted orders, unlike in an entry.
+    report.startedAtMs = DecodeStartTime(document);
+    report.running = static_cast<std::uint32_t>(UnsignedMemberOr(document, "running", 0));
+    report.waiting = static_cast<std::uint32_t>(UnsignedMemberOr(document, "waiting", 0));
     if (document.contains("state")) {
-      report.state = DecodeState(Text(document, "state"));
+      report.state = DecodeState(StringMember(document, "state"));
     }
     report.holdings = DecodeHoldings(document);
     return report;
--- a/src/platform/store_codec.cpp
+++ b/src/platform/store_codec.cpp
@@ -44,11 +44,11 @@
 
 StoreRow DecodeRow(const Json& aRow)
 {
-  StoreRow row{ .table = Text(aRow, "table"),
-                .key = Text(aRow, "key"),
+  StoreRow row{ .table = StringMember(aRow, "table"),
+                .key = StringMember(aRow, "key"),
                 .value = {},
-                .version = { WholeOr(aRow, "ver", 0) },
-                .isRemoved = FlagOr(aRow, "removed", false) };
+                .version = { UnsignedMemberOr(aRow, "ver", 0) },
+                .isRemoved = BoolMemberOr(aRow, "removed", false) };
   if (!row.isRemoved && aRow.contains("value") && aRow["value"].is_string()) {
     row.value = FromBase64(aRow["value"].get<std::string>());
   }
@@ -107,10 +107,10 @@
   try {
     const Json body = ParseJson(aBody);
     StoreAnswer answer;
-    answer.newest = { Whole(body, "ver") };
-    answer.isTruncated = FlagOr(body, "truncated", false);
+    answer.newest = { UnsignedMember(body, "ver") };
+    answer.isTruncated = BoolMemberOr(body, "truncated", false);
     if (body.contains("rows")) {
-      for (const Json& row : List(body, "rows")) {
+      for (const Json& row : ArrayMember(body, "rows")) {
         answer.rows.push_back(DecodeRow(row));
       }
     }
