--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-/* The command line. */
+/* The command line: reads the arguments and runs the command that they name. */
 #include "core/exit_code_type.h"
 #include "daemon/daemon.h"
 #include "daemon/edge_daemon.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/* Where the users' platform says which settings file is meant. */
+/* Environment variable by which the users' platform passes the path of the settings file. */
 constexpr const char* kSettingsVariable = "RHUBARBTRAIL_CONFIG";
 
 struct ServeOptions
@@ -38,7 +38,9 @@
     file = place == nullptr ? "" : place;
   }
   if (file.empty()) {
-    std::fputs("--settings is required.\n", stderr);
+    std::fputs(
+      "--settings is required. The edge command also takes the file from RHUBARBTRAIL_CONFIG.\n",
+      stderr);
     return rhubarbtrail::kExitBadInput;
   }
   const auto settings = rhubarbtrail::LoadSettings(file, aOptions.use);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,4 +1,4 @@
-/* The settings table and its YAML reader. */
+/* The table that describes the settings, and the reader of their YAML file. */
 #include "settings/settings_base.h"
 
 #include "core/number_func.h"
@@ -101,7 +101,7 @@
            } };
 }
 
-/* A duration in seconds, with decimals. */
+/* Describes a duration that the file gives in seconds, with decimals. */
 template<typename Access>
 SettingInfo Seconds(std::string_view aName,
                     std::string_view aRange,
@@ -432,11 +432,11 @@
 
 #undef FIELD
 
-/* Where each setting stands in the file. */
+/* The line of each setting in the file, by name. Settings not in the file are absent. */
 using SettingLines = std::map<std::string, int>;
 
-/* Finds required settings that are missing and pairs that contradict each other. A pair gets the
- * line of its member that comes last in the file. */
+/* Adds errors for required settings that are missing, at line 1, and for pairs of settings that
+ * contradict each other, at the later line of the two. */
 void CheckPairs(const Settings& aSettings,
                 SettingsUse aUse,
                 const std::string& aFile,
@@ -533,7 +533,7 @@
   for (const SettingInfo& info : SettingTable()) {
     const std::string standard = info.show(Settings{});
     std::string range{ info.range };
-    std::replace(range.begin(), range.end(), '|', '/'); // A bar would end the cell.
+    std::replace(range.begin(), range.end(), '|', '/'); // A bar would end the table cell.
     text << "| `" << info.name << "` | " << info.unit << " | " << range << " | "
          << (standard.empty() ? "none" : standard) << " | " << info.description << " |\n";
   }
--- a/src/settings/settings_base.h
+++ b/src/settings/settings_base.h
@@ -1,4 +1,4 @@
-/* Settings of a daemon: one declared table, read from a YAML file. */
+/* The settings of a daemon, the table that describes them and the reader of their YAML file. */
 #ifndef RHUBARBTRAIL_SETTINGS_SETTINGS_BASE_H
 #define RHUBARBTRAIL_SETTINGS_SETTINGS_BASE_H
 
@@ -15,31 +15,34 @@
 
 namespace rhubarbtrail {
 
+/* Format of the log lines: readable text, or one JSON object per line. */
 enum class LogFormat : std::uint8_t
 {
   kText,
   kJson,
 };
 
-/* Settings of a daemon on the users' platform. */
+/* Settings of the `edge` command, a daemon on the users' platform. */
 struct EdgeSettings
 {
-  std::string frontAddress;   ///< host:port for clients.
-  std::string readyAddress;   ///< host:port for the balancer's questions.
-  std::string linkAddress;    ///< host:port for other daemons.
-  std::string metricsAddress; ///< host:port of metrics and the state dump; empty: none.
-  std::string storeAddress;   ///< host:port of the platform's store.
-  double cpuShare = 1.0;      ///< Part of a core that the host has.
-  std::uint32_t descriptorLimit = 1'024;
-  Duration shutdownGrace = 8s; ///< From SIGTERM to SIGKILL.
-  Duration drainLimit = 2s;    ///< Time in which a leaving runner must get no more requests.
-  Duration leaseSpacing = 3s;  ///< Least time between orders of two holders to one runner.
-  Duration retryWindow = 10s;  ///< Time over which retries are counted.
-  double retrySlack = 50.0;    ///< Retries in a window beyond the ratio, of the whole fleet.
-  Duration loadWindow = 5s;    ///< Time over which loads from the weight store are counted.
-  double loadOverage = 1.0;    ///< Loads allowed in the window, in times of the stated rate.
+  std::string frontAddress;              ///< host:port for clients.
+  std::string readyAddress;              ///< host:port for the balancer's readiness checks.
+  std::string linkAddress;               ///< host:port for other daemons.
+  std::string metricsAddress;            ///< host:port of metrics and the state dump. Empty: none.
+  std::string storeAddress;              ///< host:port of the platform's store.
+  double cpuShare = 1.0;                 ///< Processor cores of the host, with decimals.
+  std::uint32_t descriptorLimit = 1'024; ///< Files and sockets that may be open.
+  Duration shutdownGrace = 8s;           ///< Time from SIGTERM to SIGKILL.
+  Duration drainLimit = 2s; ///< Time within which requests to a draining runner must stop.
+  Duration leaseSpacing =
+    3s; ///< Minimum time between orders of two successive holders to one runner.
+  Duration retryWindow = 10s; ///< Time over which retries are counted.
+  double retrySlack = 50.0; ///< Retries per window that the whole fleet may make beyond the ratio.
+  Duration loadWindow = 5s; ///< Time over which loads from the weight store are counted.
+  double loadOverage = 1.0; ///< Factor on the configured load rate that is allowed over the window.
 };
 
+/* All settings of a daemon, with their default values. */
 struct Settings
 {
   std::string daemonId;
@@ -48,49 +51,51 @@
   std::uint16_t callerPort = 0; ///< 0 lets the kernel choose.
   std::uint16_t adminPort = 0;
   std::uint16_t peerPort = 0;
-  std::string addressFile;  ///< Where the chosen ports are written; empty means nowhere.
+  std::string addressFile;  ///< File to which the addresses in use are written. Empty: none.
   std::string table;        ///< host:port of the table service.
   std::string hostList;     ///< host:port of the host list.
   std::string operatorKeys; ///< YAML file with the hashes of operators' keys.
   std::string logLevel = "info";
   LogFormat logFormat = LogFormat::kText;
-  std::uint32_t callerThreads = 256; ///< Not used any more.
+  std::uint32_t callerThreads = 256; ///< Has no effect. Kept so that older settings files load.
   std::uint32_t callerConnections = 4'096;
   std::uint32_t attemptThreads = 256;
   std::uint32_t orderThreads = 16;
   std::uint64_t bodyLimit = 1U << 20U; ///< Bytes.
   Duration hostListInterval = 500ms;
-  Duration callTimeout = 2s;     ///< Of one call to the platform or a runner's order interface.
-  Duration shutdownLimit = 900s; ///< Longer than any deadline.
+  Duration callTimeout = 2s;     ///< For one call to the platform or to a runner's order interface.
+  Duration shutdownLimit = 900s; ///< For open requests at shutdown. Longer than any deadline.
   DecisionSettings decision;
   EdgeSettings edge;
 };
 
-/* Which daemon the settings are for; it decides what must be set. */
+/* The command that the settings are for. It determines which settings are required. */
 enum class SettingsUse : std::uint8_t
 {
-  kServe, ///< The product's own interface.
-  kEdge,  ///< The users' platform.
+  kServe, ///< `serve`, with the project's own interfaces.
+  kEdge,  ///< `edge`, on the users' platform.
 };
 
-/* One row of the settings table. */
+/* The description of one setting. */
 struct SettingInfo
 {
   std::string_view name;
   std::string_view unit;
   std::string_view range;
   std::string_view description;
+  /* Returns the value as text. */
   std::function<std::string(const Settings&)> show;
+  /* Sets the value from text, or returns an error message. */
   std::function<tl::expected<void, std::string>(Settings&, const std::string&)> set;
 };
 
-/* Returns the declared settings, ordered as the documentation lists them. */
+/* Returns the descriptions of all settings, in the order of the documentation. */
 std::span<const SettingInfo> SettingTable();
 
-/* Returns the declared settings as a Markdown table with their defaults. */
+/* Returns a Markdown table of all settings with their default values. */
 std::string DescribeSettings();
 
-/* A fault in a settings file: where, and why. */
+/* An error in a settings file. Lines count from 1. */
 struct SettingError
 {
   std::string file;
@@ -98,13 +103,14 @@
   std::string reason;
 };
 
-/* Reads and checks settings; the errors name the file. */
+/* Parses and checks the text of a settings file. aFile only appears in the errors. Returns all
+ * errors that were found, ordered by line. */
 tl::expected<Settings, std::vector<SettingError>> ParseSettings(
   const std::string& aText,
   const std::string& aFile,
   SettingsUse aUse = SettingsUse::kServe);
 
-/* Reads and checks a settings file; all errors at once. */
+/* Reads, parses and checks a settings file. Returns all errors that were found, ordered by line. */
 tl::expected<Settings, std::vector<SettingError>> LoadSettings(
   const std::string& aFile,
   SettingsUse aUse = SettingsUse::kServe);
