--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,27 +15,27 @@
 namespace {
 
 /* Environment variable by which the users' platform passes the path of the settings file. */
-constexpr const char* kSettingsVariable = "RHUBARBTRAIL_CONFIG";
+constexpr const char* kSettingsFileVariable = "RHUBARBTRAIL_CONFIG";
 
-struct ServeOptions
+struct DaemonCommandOptions
 {
   rhubarbtrail::SettingsUse use = rhubarbtrail::SettingsUse::kServe;
   std::string settingsFile;
-  bool checkOnly = false;
-  bool listOnly = false;
+  bool isCheckOnly = false;
+  bool isListOnly = false;
 };
 
-int Serve(const ServeOptions& aOptions)
+int RunDaemonCommand(const DaemonCommandOptions& aOptions)
 {
-  if (aOptions.listOnly) {
+  if (aOptions.isListOnly) {
     std::fputs(rhubarbtrail::DescribeSettings().c_str(), stdout);
     return rhubarbtrail::kExitOk;
   }
   std::string file = aOptions.settingsFile;
   const bool isEdge = aOptions.use == rhubarbtrail::SettingsUse::kEdge;
   if (file.empty() && isEdge) {
-    const char* place = std::getenv(kSettingsVariable);
-    file = place == nullptr ? "" : place;
+    const char* path = std::getenv(kSettingsFileVariable);
+    file = path == nullptr ? "" : path;
   }
   if (file.empty()) {
     std::fputs(
@@ -50,18 +50,18 @@
     }
     return rhubarbtrail::kExitBadInput;
   }
-  if (aOptions.checkOnly) {
+  if (aOptions.isCheckOnly) {
     std::puts("The settings are valid.");
     return rhubarbtrail::kExitOk;
   }
   return isEdge ? rhubarbtrail::RunEdgeDaemon(*settings, file) : rhubarbtrail::RunDaemon(*settings);
 }
 
-void AddServeOptions(CLI::App& aCommand, ServeOptions& aOptions)
+void AddDaemonOptions(CLI::App& aCommand, DaemonCommandOptions& aOptions)
 {
   aCommand.add_option("--settings", aOptions.settingsFile, "Settings file (YAML).");
-  aCommand.add_flag("--check", aOptions.checkOnly, "Only check the settings.");
-  aCommand.add_flag("--list-settings", aOptions.listOnly, "Print the table of settings.");
+  aCommand.add_flag("--check", aOptions.isCheckOnly, "Only check the settings.");
+  aCommand.add_flag("--list-settings", aOptions.isListOnly, "Print the table of settings.");
 }
 
 } // namespace
@@ -73,12 +73,12 @@
   app.footer("Exit codes: 0 done, 1 refused, 2 bad input, 3 cannot listen, 4 unreachable, "
              "5 requests left open at shutdown.");
 
-  ServeOptions serveOptions;
+  DaemonCommandOptions serveOptions;
   CLI::App* serve = app.add_subcommand("serve", "Run a daemon.");
-  AddServeOptions(*serve, serveOptions);
-  ServeOptions edgeOptions{ .use = rhubarbtrail::SettingsUse::kEdge };
+  AddDaemonOptions(*serve, serveOptions);
+  DaemonCommandOptions edgeOptions{ .use = rhubarbtrail::SettingsUse::kEdge };
   CLI::App* edge = app.add_subcommand("edge", "Run a daemon on the users' platform.");
-  AddServeOptions(*edge, edgeOptions);
+  AddDaemonOptions(*edge, edgeOptions);
 
   rhubarbtrail::OperatorCommands commands;
   commands.Add(app);
@@ -91,10 +91,10 @@
     return app.exit(error) == 0 ? rhubarbtrail::kExitOk : rhubarbtrail::kExitBadInput;
   }
   if (serve->parsed()) {
-    return Serve(serveOptions);
+    return RunDaemonCommand(serveOptions);
   }
   if (edge->parsed()) {
-    return Serve(edgeOptions);
+    return RunDaemonCommand(edgeOptions);
   }
   return load.IsParsed() ? load.Run() : commands.Run();
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,7 +18,7 @@
 using SetResult = tl::expected<void, std::string>;
 
 template<typename Field>
-std::string ShowNumber(Field aValue)
+std::string FormatNumber(Field aValue)
 {
   if constexpr (std::is_floating_point_v<Field>) {
     std::string text = std::to_string(aValue);
@@ -30,7 +30,7 @@
 }
 
 template<typename Access>
-SettingInfo Text(std::string_view aName, Access aAccess, std::string_view aDescription)
+SettingInfo TextSetting(std::string_view aName, Access aAccess, std::string_view aDescription)
 {
   return { aName,
            "text",
@@ -47,13 +47,13 @@
 }
 
 template<typename Access, typename Number>
-SettingInfo Numeric(std::string_view aName,
-                    std::string_view aUnit,
-                    std::string_view aRange,
-                    Access aAccess,
-                    Number aLow,
-                    Number aHigh,
-                    std::string_view aDescription)
+SettingInfo NumericSetting(std::string_view aName,
+                           std::string_view aUnit,
+                           std::string_view aRange,
+                           Access aAccess,
+                           Number aMinimum,
+                           Number aMaximum,
+                           std::string_view aDescription)
 {
   return { aName,
            aUnit,
@@ -61,10 +61,10 @@
            aDescription,
            [aAccess](const Settings& aSettings) {
              Settings copy = aSettings;
-             return ShowNumber(aAccess(copy));
+             return FormatNumber(aAccess(copy));
            },
            [=](Settings& aSettings, const std::string& aText) -> SetResult {
-             const auto value = ParseNumber<Number>(aText, aLow, aHigh);
+             const auto value = ParseNumber<Number>(aText, aMinimum, aMaximum);
              if (!value) {
                return tl::make_unexpected(value.error());
              }
@@ -75,12 +75,12 @@
 }
 
 template<typename Access>
-SettingInfo Milliseconds(std::string_view aName,
-                         std::string_view aRange,
-                         Access aAccess,
-                         std::int64_t aLow,
-                         std::int64_t aHigh,
-                         std::string_view aDescription)
+SettingInfo MillisecondsSetting(std::string_view aName,
+                                std::string_view aRange,
+                                Access aAccess,
+                                std::int64_t aMinimum,
+                                std::int64_t aMaximum,
+                                std::string_view aDescription)
 {
   using std::chrono::milliseconds;
   return { aName,
@@ -92,7 +92,7 @@
              return std::to_string(std::chrono::duration_cast<milliseconds>(aAccess(copy)).count());
            },
            [=](Settings& aSettings, const std::string& aText) -> SetResult {
-             const auto value = ParseNumber<std::int64_t>(aText, aLow, aHigh);
+             const auto value = ParseNumber<std::int64_t>(aText, aMinimum, aMaximum);
              if (!value) {
                return tl::make_unexpected(value.error());
              }
@@ -103,12 +103,12 @@
 
 /* Describes a duration that the file gives in seconds, with decimals. */
 template<typename Access>
-SettingInfo Seconds(std::string_view aName,
-                    std::string_view aRange,
-                    Access aAccess,
-                    double aLow,
-                    double aHigh,
-                    std::string_view aDescription)
+SettingInfo SecondsSetting(std::string_view aName,
+                           std::string_view aRange,
+                           Access aAccess,
+                           double aMinimum,
+                           double aMaximum,
+                           std::string_view aDescription)
 {
   return { aName,
            "s",
@@ -116,10 +116,10 @@
            aDescription,
            [aAccess](const Settings& aSettings) {
              Settings copy = aSettings;
-             return ShowNumber(std::chrono::duration<double>(aAccess(copy)).count());
+             return FormatNumber(std::chrono::duration<double>(aAccess(copy)).count());
            },
            [=](Settings& aSettings, const std::string& aText) -> SetResult {
-             const auto value = ParseNumber<double>(aText, aLow, aHigh);
+             const auto value = ParseNumber<double>(aText, aMinimum, aMaximum);
              if (!value) {
                return tl::make_unexpected(value.error());
              }
@@ -129,21 +129,21 @@
            } };
 }
 
-SettingInfo Choice(std::string_view aName,
-                   std::string_view aRange,
-                   std::vector<std::string> aWords,
-                   std::function<std::string(const Settings&)> aShow,
-                   std::function<void(Settings&, const std::string&)> aSet,
-                   std::string_view aDescription)
+SettingInfo ChoiceSetting(std::string_view aName,
+                          std::string_view aRange,
+                          std::vector<std::string> aChoices,
+                          std::function<std::string(const Settings&)> aFormat,
+                          std::function<void(Settings&, const std::string&)> aSet,
+                          std::string_view aDescription)
 {
   return { aName,
            "word",
            aRange,
            aDescription,
-           std::move(aShow),
-           [words = std::move(aWords),
+           std::move(aFormat),
+           [choices = std::move(aChoices),
             set = std::move(aSet)](Settings& aSettings, const std::string& aText) -> SetResult {
-             if (std::find(words.begin(), words.end(), aText) == words.end()) {
+             if (std::find(choices.begin(), choices.end(), aText) == choices.end()) {
                return tl::make_unexpected("'" + aText + "' is not one of the words allowed");
              }
              set(aSettings, aText);
@@ -157,46 +157,46 @@
     return aSettings.Member;                                                                       \
   }
 
-std::vector<SettingInfo> MakeTable()
+std::vector<SettingInfo> MakeSettingTable()
 {
   constexpr std::int64_t kHourMs = 3'600'000;
   return {
-    Text("daemon_id", FIELD(daemonId), "Name of this daemon, unique among all."),
-    Text("zone", FIELD(zone), "Availability zone of this host."),
-    Text("listen_address", FIELD(listenAddress), "IP number to listen on."),
-    Numeric("caller_port",
-            "port",
-            "0..65535",
-            FIELD(callerPort),
-            0,
-            65'535,
-            "Port for callers; 0 lets the kernel choose."),
-    Numeric("admin_port",
-            "port",
-            "0..65535",
-            FIELD(adminPort),
-            0,
-            65'535,
-            "Port of the administration API; 0 lets the kernel choose."),
-    Numeric("peer_port",
-            "port",
-            "0..65535",
-            FIELD(peerPort),
-            0,
-            65'535,
-            "Port for other daemons; 0 lets the kernel choose."),
-    Text("address_file", FIELD(addressFile), "File that receives the ports in use."),
-    Text("table", FIELD(table), "host:port of the platform's table service."),
-    Text("host_list", FIELD(hostList), "host:port of the platform's host list."),
-    Text("operator_keys", FIELD(operatorKeys), "YAML file with hashes of operators' keys."),
-    Choice(
+    TextSetting("daemon_id", FIELD(daemonId), "Name of this daemon, unique among all."),
+    TextSetting("zone", FIELD(zone), "Availability zone of this host."),
+    TextSetting("listen_address", FIELD(listenAddress), "IP number to listen on."),
+    NumericSetting("caller_port",
+                   "port",
+                   "0..65535",
+                   FIELD(callerPort),
+                   0,
+                   65'535,
+                   "Port for callers; 0 lets the kernel choose."),
+    NumericSetting("admin_port",
+                   "port",
+                   "0..65535",
+                   FIELD(adminPort),
+                   0,
+                   65'535,
+                   "Port of the administration API; 0 lets the kernel choose."),
+    NumericSetting("peer_port",
+                   "port",
+                   "0..65535",
+                   FIELD(peerPort),
+                   0,
+                   65'535,
+                   "Port for other daemons; 0 lets the kernel choose."),
+    TextSetting("address_file", FIELD(addressFile), "File that receives the ports in use."),
+    TextSetting("table", FIELD(table), "host:port of the platform's table service."),
+    TextSetting("host_list", FIELD(hostList), "host:port of the platform's host list."),
+    TextSetting("operator_keys", FIELD(operatorKeys), "YAML file with hashes of operators' keys."),
+    ChoiceSetting(
       "log_level",
       "debug|info|warn|error",
       { "debug", "info", "warn", "error" },
       [](const Settings& aSettings) { return aSettings.logLevel; },
       [](Settings& aSettings, const std::string& aText) { aSettings.logLevel = aText; },
       "Lowest level that is logged; it can be changed at run time."),
-    Choice(
+    ChoiceSetting(
       "log_format",
       "text|json",
       { "text", "json" },
@@ -207,226 +207,228 @@
         aSettings.logFormat = aText == "json" ? LogFormat::kJson : LogFormat::kText;
       },
       "Log as text or as one JSON object a line."),
-    Numeric("caller_threads",
-            "threads",
-            "4..4096",
-            FIELD(callerThreads),
-            4,
-            4'096,
-            "Not used any more; accepted so that older files load."),
-    Numeric("caller_connections",
-            "connections",
-            "16..65536",
-            FIELD(callerConnections),
-            16,
-            65'536,
-            "Open caller connections; beyond it those without a request are closed."),
-    Numeric("attempt_threads",
-            "threads",
-            "4..4096",
-            FIELD(attemptThreads),
-            4,
-            4'096,
-            "Requests in flight at endpoints at a time."),
-    Numeric("order_threads",
-            "threads",
-            "1..256",
-            FIELD(orderThreads),
-            1,
-            256,
-            "Orders to runners under way at a time."),
-    Numeric("body_limit",
-            "bytes",
-            "1024..67108864",
-            FIELD(bodyLimit),
-            std::int64_t{ 1'024 },
-            std::int64_t{ 67'108'864 },
-            "Largest request body."),
-    Milliseconds("host_list_interval",
-                 "50..60000",
-                 FIELD(hostListInterval),
-                 50,
-                 60'000,
-                 "Time between reads of the host list."),
-    Milliseconds("call_timeout",
-                 "50..60000",
-                 FIELD(callTimeout),
-                 50,
-                 60'000,
-                 "Limit of one call to the platform or of one order."),
-    Milliseconds("shutdown_limit",
-                 "0..86400000",
-                 FIELD(shutdownLimit),
-                 0,
-                 24 * kHourMs,
-                 "Time for open requests to end at shutdown."),
-    Milliseconds("lease_length",
-                 "200..3600000",
-                 FIELD(decision.leaseLength),
-                 200,
-                 kHourMs,
-                 "Silence after which a cell's lease may be taken over."),
-    Milliseconds("lease_renewal",
-                 "50..3600000",
-                 FIELD(decision.leaseRenewal),
-                 50,
-                 kHourMs,
-                 "Time between renewals of a lease."),
-    Milliseconds("order_flight",
-                 "50..60000",
-                 FIELD(decision.orderFlight),
-                 50,
-                 60'000,
-                 "Longest time that an order can be under way."),
-    Milliseconds("heartbeat_interval",
-                 "50..60000",
-                 FIELD(decision.heartbeatInterval),
-                 50,
-                 60'000,
-                 "Time between heartbeats to another daemon."),
-    Milliseconds("freshness_limit",
-                 "200..60000",
-                 FIELD(decision.freshnessLimit),
-                 200,
-                 60'000,
-                 "Age at which the configuration counts as stale."),
-    Milliseconds("configuration_poll",
-                 "50..60000",
-                 FIELD(decision.configurationPoll),
-                 50,
-                 60'000,
-                 "Time between reads of the newest configuration."),
-    Milliseconds("member_timeout",
-                 "200..60000",
-                 FIELD(decision.memberTimeout),
-                 200,
-                 60'000,
-                 "Silence after which a daemon counts as unreachable."),
-    Milliseconds("replica_lifetime",
-                 "500..600000",
-                 FIELD(decision.replicaLifetime),
-                 500,
-                 600'000,
-                 "Time for which a router may use a replica unasked."),
-    Milliseconds("progress_limit",
-                 "50..600000",
-                 FIELD(decision.progressLimit),
-                 50,
-                 600'000,
-                 "Longest silence of an endpoint that is answering."),
-    Milliseconds("quarantine_length",
-                 "1000..86400000",
-                 FIELD(decision.quarantineLength),
-                 1'000,
-                 24 * kHourMs,
-                 "Time for which a request that crashed endpoints is refused."),
-    Numeric("candidate_runners",
-            "runners",
-            "1..64",
-            FIELD(decision.candidateRunners),
-            1,
-            64,
-            "Runners that a model may be loaded on while the table is down."),
-    Numeric("attempt_limit",
-            "attempts",
-            "1..10",
-            FIELD(decision.attemptLimit),
-            1,
-            10,
-            "Attempts of one request."),
-    Numeric("queue_limit",
-            "requests",
-            "1..1000000",
-            FIELD(decision.queueLimit),
-            1,
-            1'000'000,
-            "Requests that a daemon holds at a time."),
-    Numeric("claim_batch",
-            "claims",
-            "1..1000",
-            FIELD(decision.claimBatch),
-            1,
-            1'000,
-            "Claims written in one transaction."),
-    Numeric("retry_budget_ratio",
-            "retries per request",
-            "0..1",
-            FIELD(decision.retryBudgetRatio),
-            0.0,
-            1.0,
-            "Retries earned by each first attempt."),
-    Numeric("retry_budget_burst",
-            "retries",
-            "0..1000",
-            FIELD(decision.retryBudgetBurst),
-            0.0,
-            1'000.0,
-            "Retries that can be saved up."),
-    Text("front_address", FIELD(edge.frontAddress), "host:port for clients (`edge`)."),
-    Text("ready_address", FIELD(edge.readyAddress), "host:port for the balancer (`edge`)."),
-    Text("link_address", FIELD(edge.linkAddress), "host:port for other daemons (`edge`)."),
-    Text("metrics_address",
-         FIELD(edge.metricsAddress),
-         "host:port of the metrics and the state dump (`edge`)."),
-    Text("store_address", FIELD(edge.storeAddress), "host:port of the platform's store (`edge`)."),
-    Numeric("cpu_share",
-            "cores",
-            "0.01..1024",
-            FIELD(edge.cpuShare),
-            0.01,
-            1'024.0,
-            "Processor that the host has; the best equipped host gives the orders (`edge`)."),
-    Numeric("descriptor_limit",
-            "descriptors",
-            "256..1000000",
-            FIELD(edge.descriptorLimit),
-            256,
-            1'000'000,
-            "Files and sockets that may be open (`edge`)."),
-    Seconds("shutdown_grace",
-            "0.5..3600",
-            FIELD(edge.shutdownGrace),
-            0.5,
-            3'600.0,
-            "Time from SIGTERM until the process is killed (`edge`)."),
-    Milliseconds("drain_limit",
-                 "200..60000",
-                 FIELD(edge.drainLimit),
-                 200,
-                 60'000,
-                 "Time in which a leaving runner must get no more requests (`edge`)."),
-    Milliseconds("lease_spacing",
-                 "100..60000",
-                 FIELD(edge.leaseSpacing),
-                 100,
-                 60'000,
-                 "Least time between orders of two holders (`edge`)."),
-    Seconds("retry_window",
-            "1..3600",
-            FIELD(edge.retryWindow),
-            1.0,
-            3'600.0,
-            "Time over which retries are counted (`edge`)."),
-    Numeric("retry_slack",
-            "retries",
-            "0..100000",
-            FIELD(edge.retrySlack),
-            0.0,
-            100'000.0,
-            "Retries in a window beyond the ratio, of the whole fleet (`edge`)."),
-    Seconds("load_window",
-            "0.1..3600",
-            FIELD(edge.loadWindow),
-            0.1,
-            3'600.0,
-            "Time over which loads from the weight store are counted (`edge`)."),
-    Numeric("load_overage",
-            "times",
-            "0.1..100",
-            FIELD(edge.loadOverage),
-            0.1,
-            100.0,
-            "Loads allowed in the window, in times of the stated rate (`edge`)."),
+    NumericSetting("caller_threads",
+                   "threads",
+                   "4..4096",
+                   FIELD(callerThreads),
+                   4,
+                   4'096,
+                   "Not used any more; accepted so that older files load."),
+    NumericSetting("caller_connections",
+                   "connections",
+                   "16..65536",
+                   FIELD(callerConnections),
+                   16,
+                   65'536,
+                   "Open caller connections; beyond it those without a request are closed."),
+    NumericSetting("attempt_threads",
+                   "threads",
+                   "4..4096",
+                   FIELD(attemptThreads),
+                   4,
+                   4'096,
+                   "Requests in flight at endpoints at a time."),
+    NumericSetting("order_threads",
+                   "threads",
+                   "1..256",
+                   FIELD(orderThreads),
+                   1,
+                   256,
+                   "Orders to runners under way at a time."),
+    NumericSetting("body_limit",
+                   "bytes",
+                   "1024..67108864",
+                   FIELD(bodyLimit),
+                   std::int64_t{ 1'024 },
+                   std::int64_t{ 67'108'864 },
+                   "Largest request body."),
+    MillisecondsSetting("host_list_interval",
+                        "50..60000",
+                        FIELD(hostListInterval),
+                        50,
+                        60'000,
+                        "Time between reads of the host list."),
+    MillisecondsSetting("call_timeout",
+                        "50..60000",
+                        FIELD(callTimeout),
+                        50,
+                        60'000,
+                        "Limit of one call to the platform or of one order."),
+    MillisecondsSetting("shutdown_limit",
+                        "0..86400000",
+                        FIELD(shutdownLimit),
+                        0,
+                        24 * kHourMs,
+                        "Time for open requests to end at shutdown."),
+    MillisecondsSetting("lease_length",
+                        "200..3600000",
+                        FIELD(decision.leaseLength),
+                        200,
+                        kHourMs,
+                        "Silence after which a cell's lease may be taken over."),
+    MillisecondsSetting("lease_renewal",
+                        "50..3600000",
+                        FIELD(decision.leaseRenewal),
+                        50,
+                        kHourMs,
+                        "Time between renewals of a lease."),
+    MillisecondsSetting("order_flight",
+                        "50..60000",
+                        FIELD(decision.orderFlight),
+                        50,
+                        60'000,
+                        "Longest time that an order can be under way."),
+    MillisecondsSetting("heartbeat_interval",
+                        "50..60000",
+                        FIELD(decision.heartbeatInterval),
+                        50,
+                        60'000,
+                        "Time between heartbeats to another daemon."),
+    MillisecondsSetting("freshness_limit",
+                        "200..60000",
+                        FIELD(decision.freshnessLimit),
+                        200,
+                        60'000,
+                        "Age at which the configuration counts as stale."),
+    MillisecondsSetting("configuration_poll",
+                        "50..60000",
+                        FIELD(decision.configurationPoll),
+                        50,
+                        60'000,
+                        "Time between reads of the newest configuration."),
+    MillisecondsSetting("member_timeout",
+                        "200..60000",
+                        FIELD(decision.memberTimeout),
+                        200,
+                        60'000,
+                        "Silence after which a daemon counts as unreachable."),
+    MillisecondsSetting("replica_lifetime",
+                        "500..600000",
+                        FIELD(decision.replicaLifetime),
+                        500,
+                        600'000,
+                        "Time for which a router may use a replica unasked."),
+    MillisecondsSetting("progress_limit",
+                        "50..600000",
+                        FIELD(decision.progressLimit),
+                        50,
+                        600'000,
+                        "Longest silence of an endpoint that is answering."),
+    MillisecondsSetting("quarantine_length",
+                        "1000..86400000",
+                        FIELD(decision.quarantineLength),
+                        1'000,
+                        24 * kHourMs,
+                        "Time for which a request that crashed endpoints is refused."),
+    NumericSetting("candidate_runners",
+                   "runners",
+                   "1..64",
+                   FIELD(decision.candidateRunners),
+                   1,
+                   64,
+                   "Runners that a model may be loaded on while the table is down."),
+    NumericSetting("attempt_limit",
+                   "attempts",
+                   "1..10",
+                   FIELD(decision.attemptLimit),
+                   1,
+                   10,
+                   "Attempts of one request."),
+    NumericSetting("queue_limit",
+                   "requests",
+                   "1..1000000",
+                   FIELD(decision.queueLimit),
+                   1,
+                   1'000'000,
+                   "Requests that a daemon holds at a time."),
+    NumericSetting("claim_batch",
+                   "claims",
+                   "1..1000",
+                   FIELD(decision.claimBatch),
+                   1,
+                   1'000,
+                   "Claims written in one transaction."),
+    NumericSetting("retry_budget_ratio",
+                   "retries per request",
+                   "0..1",
+                   FIELD(decision.retryBudgetRatio),
+                   0.0,
+                   1.0,
+                   "Retries earned by each first attempt."),
+    NumericSetting("retry_budget_burst",
+                   "retries",
+                   "0..1000",
+                   FIELD(decision.retryBudgetBurst),
+                   0.0,
+                   1'000.0,
+                   "Retries that can be saved up."),
+    TextSetting("front_address", FIELD(edge.frontAddress), "host:port for clients (`edge`)."),
+    TextSetting("ready_address", FIELD(edge.readyAddress), "host:port for the balancer (`edge`)."),
+    TextSetting("link_address", FIELD(edge.linkAddress), "host:port for other daemons (`edge`)."),
+    TextSetting("metrics_address",
+                FIELD(edge.metricsAddress),
+                "host:port of the metrics and the state dump (`edge`)."),
+    TextSetting(
+      "store_address", FIELD(edge.storeAddress), "host:port of the platform's store (`edge`)."),
+    NumericSetting(
+      "cpu_share",
+      "cores",
+      "0.01..1024",
+      FIELD(edge.cpuShare),
+      0.01,
+      1'024.0,
+      "Processor that the host has; the best equipped host gives the orders (`edge`)."),
+    NumericSetting("descriptor_limit",
+                   "descriptors",
+                   "256..1000000",
+                   FIELD(edge.descriptorLimit),
+                   256,
+                   1'000'000,
+                   "Files and sockets that may be open (`edge`)."),
+    SecondsSetting("shutdown_grace",
+                   "0.5..3600",
+                   FIELD(edge.shutdownGrace),
+                   0.5,
+                   3'600.0,
+                   "Time from SIGTERM until the process is killed (`edge`)."),
+    MillisecondsSetting("drain_limit",
+                        "200..60000",
+                        FIELD(edge.drainLimit),
+                        200,
+                        60'000,
+                        "Time in which a leaving runner must get no more requests (`edge`)."),
+    MillisecondsSetting("lease_spacing",
+                        "100..60000",
+                        FIELD(edge.leaseSpacing),
+                        100,
+                        60'000,
+                        "Least time between orders of two holders (`edge`)."),
+    SecondsSetting("retry_window",
+                   "1..3600",
+                   FIELD(edge.retryWindow),
+                   1.0,
+                   3'600.0,
+                   "Time over which retries are counted (`edge`)."),
+    NumericSetting("retry_slack",
+                   "retries",
+                   "0..100000",
+                   FIELD(edge.retrySlack),
+                   0.0,
+                   100'000.0,
+                   "Retries in a window beyond the ratio, of the whole fleet (`edge`)."),
+    SecondsSetting("load_window",
+                   "0.1..3600",
+                   FIELD(edge.loadWindow),
+                   0.1,
+                   3'600.0,
+                   "Time over which loads from the weight store are counted (`edge`)."),
+    NumericSetting("load_overage",
+                   "times",
+                   "0.1..100",
+                   FIELD(edge.loadOverage),
+                   0.1,
+                   100.0,
+                   "Loads allowed in the window, in times of the stated rate (`edge`)."),
   };
 }
 
@@ -437,11 +439,11 @@
 
 /* Adds errors for required settings that are missing, at line 1, and for pairs of settings that
  * contradict each other, at the later line of the two. */
-void CheckPairs(const Settings& aSettings,
-                SettingsUse aUse,
-                const std::string& aFile,
-                const SettingLines& aLines,
-                std::vector<SettingError>& aErrors)
+void CheckConsistency(const Settings& aSettings,
+                      SettingsUse aUse,
+                      const std::string& aFile,
+                      const SettingLines& aLines,
+                      std::vector<SettingError>& aErrors)
 {
   const auto lineOf = [&](const char* aName) {
     const auto found = aLines.find(aName);
@@ -458,8 +460,8 @@
     }
   }
   const auto require =
-    [&](bool aHolds, const char* aLeft, const char* aRelation, const char* aRight) {
-      if (!aHolds) {
+    [&](bool aIsValid, const char* aLeft, const char* aRelation, const char* aRight) {
+      if (!aIsValid) {
         aErrors.push_back({ aFile,
                             std::max(lineOf(aLeft), lineOf(aRight)),
                             std::string{ aLeft } + aRelation + aRight });
@@ -485,11 +487,11 @@
           "member_timeout");
 }
 
-void ReadEntries(const YAML::Node& aRoot,
-                 const std::string& aFile,
-                 Settings& aSettings,
-                 SettingLines& aLines,
-                 std::vector<SettingError>& aErrors)
+void ReadSettings(const YAML::Node& aRoot,
+                  const std::string& aFile,
+                  Settings& aSettings,
+                  SettingLines& aLines,
+                  std::vector<SettingError>& aErrors)
 {
   for (const auto& item : aRoot) {
     const std::string name = item.first.IsScalar() ? item.first.Scalar() : std::string{};
@@ -522,8 +524,8 @@
 
 std::span<const SettingInfo> SettingTable()
 {
-  static const std::vector<SettingInfo> sTable = MakeTable();
-  return sTable;
+  static const std::vector<SettingInfo> sSettingTable = MakeSettingTable();
+  return sSettingTable;
 }
 
 std::string DescribeSettings()
@@ -531,11 +533,11 @@
   std::ostringstream text;
   text << "| Setting | Unit | Range | Default | Meaning |\n| --- | --- | --- | --- | --- |\n";
   for (const SettingInfo& info : SettingTable()) {
-    const std::string standard = info.show(Settings{});
+    const std::string defaultValue = info.format(Settings{});
     std::string range{ info.range };
     std::replace(range.begin(), range.end(), '|', '/'); // A bar would end the table cell.
     text << "| `" << info.name << "` | " << info.unit << " | " << range << " | "
-         << (standard.empty() ? "none" : standard) << " | " << info.description << " |\n";
+         << (defaultValue.empty() ? "none" : defaultValue) << " | " << info.description << " |\n";
   }
   return text.str();
 }
@@ -550,8 +552,8 @@
   try {
     const YAML::Node root = YAML::Load(aText);
     if (root.IsMap()) {
-      ReadEntries(root, aFile, settings, lines, errors);
-      CheckPairs(settings, aUse, aFile, lines, errors);
+      ReadSettings(root, aFile, settings, lines, errors);
+      CheckConsistency(settings, aUse, aFile, lines, errors);
     } else {
       errors.push_back({ aFile, 1, "the file must be a mapping of settings" });
     }
--- a/src/settings/settings_base.h
+++ b/src/settings/settings_base.h
@@ -84,7 +84,7 @@
   std::string_view range;
   std::string_view description;
   /* Returns the value as text. */
-  std::function<std::string(const Settings&)> show;
+  std::function<std::string(const Settings&)> format;
   /* Sets the value from text, or returns an error message. */
   std::function<tl::expected<void, std::string>(Settings&, const std::string&)> set;
 };
