--- a/src/settings/settings_base.h
+++ b/src/settings/settings_base.h
@@ -64,7 +64,7 @@
   std::uint64_t bodyLimit = 1U << 20U; ///< Bytes.
   Duration hostListInterval = 500ms;
   Duration callTimeout = 2s;     ///< For one call to the platform or to a runner's order interface.
-  Duration shutdownLimit = 900s; ///< For open requests at shutdown. Longer than any deadline.
+  Duration shutdownLimit = 900s; ///< For open requests at shutdown. Deadlines may be up to 24 h.
   DecisionSettings decision;
   EdgeSettings edge;
 };
