--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -79,9 +79,7 @@
   RcuPointer<Snapshot> mSnapshot;
   Snapshot mNextSnapshot; ///< Used only while an action is executed, so by one thread at a time.
   std::atomic<std::uint64_t> mConfigurationVersion{ 0 }; ///< Version of the configuration in force.
-  std::atomic<std::uint64_t> mNewestParsedVersion{
-    0
-  }; ///< Newest version that was or is being parsed.
+  std::atomic<std::uint64_t> mNewestParsedVersion{ 0 };  ///< Its parsing may not have ended.
   SessionMap mSessions;
   Metrics mMetrics;
   WorkerPool mTableThreads;
--- a/src/daemon/decision_loop.h
+++ b/src/daemon/decision_loop.h
@@ -33,8 +33,8 @@
    * queued, or are posted later, are never applied. */
   void Stop();
 
-  /* Queues an event, and applies the queued events unless another thread is doing so. May be called
-   * on any thread. */
+  /* Queues an event. Between Start() and Stop() it also applies queued events, up to a limit,
+   * unless another thread is doing so. May be called on any thread. */
   void Post(Event aEvent);
 
   /* Returns the state of the node for operators. May be called on any thread. */
@@ -49,7 +49,7 @@
   std::function<void(Action)> mExecuteAction;
   std::mutex mNodeMutex; ///< Guards mNode.
   Node mNode;
-  std::mutex mMutex; ///< Guards all members below.
+  std::mutex mMutex; ///< Guards the members below, except mThread.
   std::condition_variable mStateChanged;
   std::deque<Event> mEvents;
   bool mIsStarted = false;
--- a/src/platform/request_headers.cpp
+++ b/src/platform/request_headers.cpp
@@ -15,8 +15,8 @@
 /* Fields that only a daemon may set on a request to an endpoint. Those that a client sends are
  * dropped. */
 constexpr std::array kDaemonOnlyFields{
-  field::kTarget,     field::kPriority,  field::kHold,          field::kPin,     field::kBackup,
-  field::kResumeFrom, field::kFetchFrom, field::kExpectVersion, field::kDeadline
+  field::kTargetEndpoint, field::kPriority,  field::kHold,          field::kPin,     field::kBackup,
+  field::kResumeFrom,     field::kFetchFrom, field::kExpectVersion, field::kDeadline
 };
 
 template<typename Integer>
@@ -126,7 +126,7 @@
   using std::chrono::milliseconds;
   const auto left = std::chrono::duration_cast<milliseconds>(aOptions.timeLeft).count();
   add(field::kDeadline, std::to_string(std::max<std::int64_t>(left, 1)));
-  add(field::kTarget, aOptions.endpoint.str());
+  add(field::kTargetEndpoint, aOptions.endpoint.str());
   if (aOptions.hasPriority) {
     add(field::kPriority, std::to_string(std::min<std::uint32_t>(aOptions.priority, 9)));
   }
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -158,7 +158,7 @@
 {
   return { .method = "GET",
            .target = std::string{ path::kReport },
-           .fields = { { std::string{ field::kTarget }, aRunner.str() } },
+           .fields = { { std::string{ field::kTargetEndpoint }, aRunner.str() } },
            .body = {} };
 }
 
@@ -176,7 +176,7 @@
   return { .method = "POST",
            .target = std::string{ path::kOrder },
            .fields = { { "Content-Type", "application/json" },
-                       { std::string{ field::kTarget }, aOrder.runner.str() } },
+                       { std::string{ field::kTargetEndpoint }, aOrder.runner.str() } },
            .body = body.dump() };
 }
 
