--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,4 +1,4 @@
-/* Turns actions into I/O and I/O into events. */
+/* Executes the actions of the decision library and posts the results to it as events. */
 #include "daemon/daemon.h"
 
 #include "caller/caller_server.h"
@@ -32,67 +32,70 @@
 
 /* Threads for calls to the table service. */
 constexpr std::size_t kTableThreads = 4;
-/* Threads that stop attempts; stopping can wait for a connect. */
-constexpr std::size_t kStopThreads = 2;
-/* Share of the order threads that one runner may keep busy. */
-constexpr std::size_t kOrderShare = 4;
+/* Threads that stop attempts. Stopping an attempt can block until its connect has ended. */
+constexpr std::size_t kStopAttemptThreads = 2;
+/* Divides the number of order threads into the number that one runner may use, which is at least 1.
+ * With two or more threads, a slow runner thus leaves some for orders to other runners. */
+constexpr std::size_t kOrderThreadsDivisor = 4;
 
 class Daemon
 {
 public:
   Daemon(Settings aSettings, std::vector<OperatorKey> aKeys);
 
-  /* Binds all ports and starts; false when a port cannot be bound. */
+  /* Binds all ports and starts the threads. Returns false if a port cannot be bound. */
   bool Start();
-  /* Waits for a signal or a drain, then finishes what is open; returns the exit code. */
+  /* Waits for SIGTERM, SIGINT or a drain request of an operator, then shuts down. Open requests may
+   * finish within the shutdown limit. Returns the exit code, or ends the process with
+   * kExitRequestsLeft when the limit has passed. */
   int WaitAndStop();
 
 private:
-  void Perform(Action aAction);
-  void Do(StartAttempt aAction);
-  void Do(const StopAttempt& aAction);
-  void Do(FinishRequest aAction);
-  void Do(TableTransaction aAction);
-  void Do(TableRead aAction);
-  void Do(SendOrder aAction);
-  void Follow(SendOrder aOrder);
-  void Do(SendMessage aAction);
-  void Do(const WakeAt& /*aAction*/) {}
-  void Do(const PublishConfiguration& aAction);
-  void Do(const PublishReadiness& aAction);
-  void Do(const ShutdownComplete& /*aAction*/) { mIsComplete = true; }
-
-  void Install(const ConfigurationRow& aRow);
+  void ExecuteAction(Action aAction);
+  void Execute(StartAttempt aAction);
+  void Execute(const StopAttempt& aAction);
+  void Execute(FinishRequest aAction);
+  void Execute(TableTransaction aAction);
+  void Execute(TableRead aAction);
+  void Execute(SendOrder aAction);
+  void PollOrder(SendOrder aOrder);
+  void Execute(SendMessage aAction);
+  void Execute(const WakeAt& /*aAction*/) {} // DecisionLoop handles it.
+  void Execute(const PublishConfiguration& aAction);
+  void Execute(const PublishReadiness& aAction);
+  void Execute(const ShutdownComplete& /*aAction*/) { mIsShutdownComplete = true; }
+
+  void LoadConfiguration(const ConfigurationRow& aRow);
   void PublishSnapshot();
   std::vector<Gauge> Gauges();
-  void PollHosts();
-  void MarkDrained(HostListReceived& aList) const;
-  void WriteAddresses(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const;
+  void PollHostList();
+  void MarkDrainedHosts(HostListReceived& aList) const;
+  void WriteAddressFile(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const;
 
   Settings mSettings;
   Incarnation mSelf;
-  TableClient mTable;
-  ConfigurationStore mStore;
+  TableClient mTableClient;
+  ConfigurationStore mConfigurationStore;
   RcuPointer<Snapshot> mSnapshot;
-  Snapshot mNextSnapshot; ///< Used by the decision thread only.
-  std::atomic<std::uint64_t> mVersion{ 0 };
-  std::atomic<std::uint64_t> mNewestRead{ 0 }; ///< Newest version whose document was read.
+  Snapshot mNextSnapshot; ///< Used only while an action is executed, so by one thread at a time.
+  std::atomic<std::uint64_t> mConfigurationVersion{ 0 }; ///< Version of the configuration in force.
+  std::atomic<std::uint64_t> mNewestParsedVersion{ 0 };  ///< Its parsing may not have ended.
   SessionMap mSessions;
   Metrics mMetrics;
-  WorkerPool mTablePool;
-  WorkerPool mOrderPool;
-  WorkerPool mAttemptPool;
-  WorkerPool mStopPool;
+  WorkerPool mTableThreads;
+  WorkerPool mOrderThreads;
+  WorkerPool mAttemptThreads;
+  WorkerPool mStopAttemptThreads;
   DecisionLoop mLoop;
-  PeerTransport mPeers;
-  CallerServer mCallers;
-  AdminServer mAdmin;
-  std::thread mHostThread;
+  PeerTransport mPeerTransport;
+  CallerServer mCallerServer;
+  AdminServer mAdminServer;
+  std::thread mHostListThread;
   std::mutex mStopMutex;
   std::condition_variable mStopChanged;
   std::atomic<bool> mIsStopping{ false };
-  std::atomic<bool> mIsComplete{ false };
-  std::atomic<bool> mIsDrained{ false };
+  std::atomic<bool> mIsShutdownComplete{ false };
+  std::atomic<bool> mIsDrainRequested{ false }; ///< An operator requested a drain.
 };
 
 NodeOptions MakeNodeOptions(const Settings& aSettings, const Incarnation& aSelf)
@@ -105,42 +108,44 @@
 Daemon::Daemon(Settings aSettings, std::vector<OperatorKey> aKeys)
   : mSettings(std::move(aSettings))
   , mSelf{ DaemonId{ mSettings.daemonId }, IncarnationId{ RandomHex() } }
-  , mTable({ .address = mSettings.table, .timeout = mSettings.callTimeout })
-  , mStore(mTable)
+  , mTableClient({ .address = mSettings.table, .timeout = mSettings.callTimeout })
+  , mConfigurationStore(mTableClient)
   , mSnapshot(std::make_unique<const Snapshot>())
-  , mTablePool(kTableThreads)
-  , mOrderPool(mSettings.orderThreads,
-               std::max<std::size_t>(1, mSettings.orderThreads / kOrderShare))
-  , mAttemptPool(mSettings.attemptThreads)
-  , mStopPool(kStopThreads)
+  , mTableThreads(kTableThreads)
+  , mOrderThreads(mSettings.orderThreads,
+                  std::max<std::size_t>(1, mSettings.orderThreads / kOrderThreadsDivisor))
+  , mAttemptThreads(mSettings.attemptThreads)
+  , mStopAttemptThreads(kStopAttemptThreads)
   , mLoop(MakeNodeOptions(mSettings, mSelf),
-          [this](Action aAction) { Perform(std::move(aAction)); })
-  , mPeers({ .address = mSettings.listenAddress, .port = mSettings.peerPort },
-           [this](Envelope aEnvelope) {
-             if (const auto* message = std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
-               Install(message->row);
-             }
-             mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
-                                         .senderVersion = aEnvelope.senderVersion,
-                                         .message = std::move(aEnvelope.message) });
-           })
-  , mCallers({ .address = mSettings.listenAddress,
-               .port = mSettings.callerPort,
-               .connections = mSettings.callerConnections,
-               .bodyLimit = mSettings.bodyLimit,
-               .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
-               .finished = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
-             mSnapshot,
-             mSessions,
-             [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
-  , mAdmin(
+          [this](Action aAction) { ExecuteAction(std::move(aAction)); })
+  , mPeerTransport({ .address = mSettings.listenAddress, .port = mSettings.peerPort },
+                   [this](Envelope aEnvelope) {
+                     if (const auto* message =
+                           std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
+                       LoadConfiguration(message->row);
+                     }
+                     mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
+                                                 .senderVersion = aEnvelope.senderVersion,
+                                                 .message = std::move(aEnvelope.message) });
+                   })
+  , mCallerServer(
+      { .address = mSettings.listenAddress,
+        .port = mSettings.callerPort,
+        .connections = mSettings.callerConnections,
+        .bodyLimit = mSettings.bodyLimit,
+        .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
+        .finished = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
+      mSnapshot,
+      mSessions,
+      [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
+  , mAdminServer(
       { .address = mSettings.listenAddress, .port = mSettings.adminPort, .keys = std::move(aKeys) },
       mSnapshot,
-      mStore,
+      mConfigurationStore,
       { .dump = [this] { return mLoop.Dump(); },
         .metrics = [this] { return mMetrics.ToText(Gauges()); },
-        .onConfigurationAccepted = [this](const ConfigurationRow& aRow) { Install(aRow); },
-        .drain = [this] { mIsDrained = true; },
+        .onConfigurationAccepted = [this](const ConfigurationRow& aRow) { LoadConfiguration(aRow); },
+        .drain = [this] { mIsDrainRequested = true; },
         .releaseFromQuarantine =
           [this](FingerprintId aFingerprint) {
             mLoop.Post(QuarantineReleased{ std::move(aFingerprint) });
@@ -150,19 +155,20 @@
 
 bool Daemon::Start()
 {
-  const std::uint16_t peer = mPeers.Start();
-  const std::uint16_t admin = mAdmin.Start();
-  const std::uint16_t caller = mCallers.Start();
+  const std::uint16_t peer = mPeerTransport.Start();
+  const std::uint16_t admin = mAdminServer.Start();
+  const std::uint16_t caller = mCallerServer.Start();
   if (peer == 0 || admin == 0 || caller == 0) {
-    Log(log_part::kDaemon)->error("A port cannot be bound.");
+    Log(log_part::kDaemon)
+      ->error("A port for callers, operators or other daemons cannot be bound. The daemon exits.");
     return false;
   }
-  WriteAddresses(caller, admin, peer);
+  WriteAddressFile(caller, admin, peer);
   mLoop.Start();
   mLoop.Post(Wake{});
-  mHostThread = std::thread([this] { PollHosts(); });
+  mHostListThread = std::thread([this] { PollHostList(); });
   Log(log_part::kDaemon)
-    ->info("Daemon {} serves callers on {}, operators on {}, daemons on {}.",
+    ->info("Daemon {} listens on port {} for callers, {} for operators and {} for other daemons.",
            mSettings.daemonId,
            caller,
            admin,
@@ -170,7 +176,9 @@
   return true;
 }
 
-void Daemon::WriteAddresses(std::uint16_t aCaller, std::uint16_t aAdmin, std::uint16_t aPeer) const
+void Daemon::WriteAddressFile(std::uint16_t aCaller,
+                              std::uint16_t aAdmin,
+                              std::uint16_t aPeer) const
 {
   if (mSettings.addressFile.empty()) {
     return;
@@ -184,12 +192,12 @@
   std::rename(partial.c_str(), mSettings.addressFile.c_str());
 }
 
-void Daemon::PollHosts()
+void Daemon::PollHostList()
 {
   while (!mIsStopping) {
     if (auto list =
           ReadHostList({ .address = mSettings.hostList, .timeout = mSettings.callTimeout })) {
-      MarkDrained(*list);
+      MarkDrainedHosts(*list);
       mLoop.Post(std::move(*list));
     }
     mMetrics.Collect();
@@ -198,8 +206,9 @@
   }
 }
 
-/* Endpoints that the configuration drains are treated as if the list said that they leave. */
-void Daemon::MarkDrained(HostListReceived& aList) const
+/* Marks endpoints that the configuration drains, unless the host list reports them as leaving. The
+ * decision library treats both in the same way, but a drain can be taken back. */
+void Daemon::MarkDrainedHosts(HostListReceived& aList) const
 {
   mSnapshot.Read([&](const Snapshot& aSnapshot) {
     const auto& services = aSnapshot.configuration->services;
@@ -220,15 +229,17 @@
   sigaddset(&signals, SIGTERM);
   sigaddset(&signals, SIGINT);
   const timespec poll{ .tv_sec = 0, .tv_nsec = 100'000'000 };
-  while (!mIsDrained && sigtimedwait(&signals, nullptr, &poll) < 0) {
+  while (!mIsDrainRequested && sigtimedwait(&signals, nullptr, &poll) < 0) {
   }
-  Log(log_part::kDaemon)->info("Stopping: finishing {} open requests.", mSessions.size());
+  Log(log_part::kDaemon)->info("Shutting down. Waiting for {} open requests.", mSessions.size());
   mLoop.Post(ShutdownRequested{});
   const TimePoint end = DaemonNow() + mSettings.shutdownLimit;
-  while (!mIsComplete || mSessions.size() > 0) {
+  while (!mIsShutdownComplete || mSessions.size() > 0) {
     if (DaemonNow() >= end) {
-      Log(log_part::kDaemon)->error("Gave {} open requests up.", mSessions.size());
-      // Threads may wait for callers that never read, so they are not joined.
+      Log(log_part::kDaemon)
+        ->error("The shutdown limit has passed. Exiting with {} open requests.", mSessions.size());
+      // The threads are not joined, because some may be blocked by callers that do not read their
+      // answers.
       std::_Exit(kExitRequestsLeft);
     }
     std::this_thread::sleep_for(std::chrono::milliseconds{ 20 });
@@ -238,25 +249,25 @@
     mIsStopping = true;
   }
   mStopChanged.notify_all();
-  mCallers.Stop();
-  mAdmin.Stop();
-  mHostThread.join();
+  mCallerServer.Stop();
+  mAdminServer.Stop();
+  mHostListThread.join();
   mLoop.Stop();
-  mPeers.Stop();
-  mStopPool.Stop();
-  mAttemptPool.Stop();
-  mOrderPool.Stop();
-  mTablePool.Stop();
+  mPeerTransport.Stop();
+  mStopAttemptThreads.Stop();
+  mAttemptThreads.Stop();
+  mOrderThreads.Stop();
+  mTableThreads.Stop();
   Log(log_part::kDaemon)->info("Stopped.");
   return kExitOk;
 }
 
-void Daemon::Perform(Action aAction)
+void Daemon::ExecuteAction(Action aAction)
 {
-  std::visit([this](auto& aKind) { Do(std::move(aKind)); }, aAction);
+  std::visit([this](auto& aKind) { Execute(std::move(aKind)); }, aAction);
 }
 
-void Daemon::Do(StartAttempt aAction)
+void Daemon::Execute(StartAttempt aAction)
 {
   mMetrics.Count(Counter::kAttempts);
   if (aAction.attempt.value > 1) {
@@ -270,8 +281,8 @@
     return;
   }
   const TimePoint end = DaemonNow() + aAction.timeLeft;
-  mAttemptPool.Submit([this, session, end, start = std::move(aAction)]() mutable {
-    // All threads may have been busy for a while.
+  mAttemptThreads.Submit([this, session, end, start = std::move(aAction)]() mutable {
+    // The job may have waited until one of the threads was free.
     start.timeLeft = end - DaemonNow();
     if (start.timeLeft <= Duration{ 0 }) {
       mLoop.Post(AttemptEnded{ .request = start.request,
@@ -284,44 +295,44 @@
   });
 }
 
-void Daemon::Do(const StopAttempt& aAction)
+void Daemon::Execute(const StopAttempt& aAction)
 {
   if (auto session = mSessions.Find(aAction.request)) {
-    mStopPool.Submit(
+    mStopAttemptThreads.Submit(
       [session = std::move(session), attempt = aAction.attempt] { session->StopAttempt(attempt); });
   }
 }
 
-void Daemon::Do(FinishRequest aAction)
+void Daemon::Execute(FinishRequest aAction)
 {
   if (const auto session = mSessions.Find(aAction.request)) {
     session->Finish(std::move(aAction));
   }
 }
 
-void Daemon::Do(TableTransaction aAction)
+void Daemon::Execute(TableTransaction aAction)
 {
   mMetrics.Count(Counter::kTableTransactions);
-  mTablePool.Submit(
-    [this, transaction = std::move(aAction)] { mLoop.Post(mTable.Commit(transaction)); });
+  mTableThreads.Submit(
+    [this, transaction = std::move(aAction)] { mLoop.Post(mTableClient.Commit(transaction)); });
 }
 
-void Daemon::Do(TableRead aAction)
+void Daemon::Execute(TableRead aAction)
 {
   mMetrics.Count(Counter::kTableReads);
-  mTablePool.Submit([this, read = std::move(aAction)] {
-    ReadResult result = mTable.Read(read);
+  mTableThreads.Submit([this, read = std::move(aAction)] {
+    ReadResult result = mTableClient.Read(read);
     for (const Row& row : result.rows) {
       const auto* configuration = row.value ? std::get_if<ConfigurationRow>(&*row.value) : nullptr;
       if (configuration != nullptr) {
-        Install(*configuration);
+        LoadConfiguration(*configuration);
       }
     }
     mLoop.Post(std::move(result));
   });
 }
 
-void Daemon::Do(SendOrder aAction)
+void Daemon::Execute(SendOrder aAction)
 {
   switch (aAction.kind) {
     case OrderKind::kInventory:
@@ -337,29 +348,29 @@
       break;
   }
   std::string runner = aAction.runner.str();
-  mOrderPool.Submit(
+  mOrderThreads.Submit(
     [this, order = std::move(aAction)]() mutable {
       OrderResult result = GiveOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       const bool isRunning = result.outcome == OrderOutcome::kAccepted;
       mLoop.Post(std::move(result));
       if (isRunning) {
-        Follow(std::move(order));
+        PollOrder(std::move(order));
       }
     },
     std::move(runner));
 }
 
-/* Asks about a running order until it ends. Each question is a job of its own, so that long
- * loads leave threads to other orders. */
-void Daemon::Follow(SendOrder aOrder)
+/* Polls the runner until an accepted order has ended or a poll fails, then posts the result. Each
+ * poll is a separate job, so that long loads do not keep threads from other orders. */
+void Daemon::PollOrder(SendOrder aOrder)
 {
   std::string runner = aOrder.runner.str();
-  mOrderPool.Submit(
+  mOrderThreads.Submit(
     [this, order = std::move(aOrder)]() mutable {
       OrderResult result =
         FollowOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       if (result.outcome == OrderOutcome::kAccepted) {
-        Follow(std::move(order));
+        PollOrder(std::move(order));
       } else {
         mLoop.Post(std::move(result));
       }
@@ -367,15 +378,15 @@
     std::move(runner));
 }
 
-void Daemon::Do(SendMessage aAction)
+void Daemon::Execute(SendMessage aAction)
 {
-  const ConfigVersion version{ mVersion };
+  const ConfigVersion version{ mConfigurationVersion };
   if (aAction.to == mSelf.daemon) {
     mLoop.Post(MessageReceived{
       .from = mSelf, .senderVersion = version, .message = std::move(aAction.message) });
     return;
   }
-  mPeers.Send(aAction.address, { mSelf, version, std::move(aAction.message) });
+  mPeerTransport.Send(aAction.address, { mSelf, version, std::move(aAction.message) });
 }
 
 std::vector<Gauge> Daemon::Gauges()
@@ -388,20 +399,20 @@
     }
     quarantined += entry.path.starts_with("router.quarantined.") ? 1 : 0;
   }
-  const PeerCounters peers = mPeers.counters();
+  const PeerCounters peers = mPeerTransport.counters();
   return { { "requests_open", "Requests that are open.", mSessions.size() },
            { "requests_waiting", "Requests that wait for a replica or an endpoint.", waiting },
            { "requests_quarantined", "Requests that are refused for crashes.", quarantined },
-           { "configuration_version", "Version in force.", mVersion },
+           { "configuration_version", "Version in force.", mConfigurationVersion },
            { "peer_sent_bytes", "Bytes sent to other daemons.", peers.sentBytes },
            { "peer_received_bytes", "Bytes received from other daemons.", peers.receivedBytes },
            { "peer_sent_messages", "Messages sent to other daemons.", peers.sentMessages },
            { "peer_lost_messages", "Messages that could not be delivered.", peers.lostMessages } };
 }
 
-void Daemon::Do(const PublishConfiguration& aAction)
+void Daemon::Execute(const PublishConfiguration& aAction)
 {
-  mVersion = aAction.configuration->version.value;
+  mConfigurationVersion = aAction.configuration->version.value;
   mNextSnapshot.configuration = aAction.configuration;
   mNextSnapshot.customersByKeyHash.clear();
   for (const auto& [id, customer] : aAction.configuration->customers) {
@@ -409,11 +420,12 @@
       mNextSnapshot.customersByKeyHash.emplace(hash, id);
     }
   }
-  Log(log_part::kConfiguration)->info("Version {} is in force.", mVersion.load());
+  Log(log_part::kConfiguration)
+    ->info("Configuration version {} is in force.", mConfigurationVersion.load());
   PublishSnapshot();
 }
 
-void Daemon::Do(const PublishReadiness& aAction)
+void Daemon::Execute(const PublishReadiness& aAction)
 {
   mNextSnapshot.readiness = aAction.readiness;
   Log(log_part::kDaemon)->info("Readiness is now {}.", ToString(aAction.readiness));
@@ -425,19 +437,21 @@
   mSnapshot.Publish(std::make_unique<const Snapshot>(mNextSnapshot));
 }
 
-void Daemon::Install(const ConfigurationRow& aRow)
+void Daemon::LoadConfiguration(const ConfigurationRow& aRow)
 {
-  // Several peers may send the same version at once; it is read once.
-  std::uint64_t newest = mNewestRead;
+  // Several daemons may send the same version at the same time. It is parsed only once.
+  std::uint64_t newest = mNewestParsedVersion;
   do {
     if (aRow.version.value <= newest) {
       return;
     }
-  } while (!mNewestRead.compare_exchange_weak(newest, aRow.version.value));
+  } while (!mNewestParsedVersion.compare_exchange_weak(newest, aRow.version.value));
   auto parsed = ParseConfiguration(aRow.document, aRow.version);
   if (!parsed) {
     Log(log_part::kConfiguration)
-      ->error("Version {} cannot be read: {}.", aRow.version.value, parsed.error()[0].reason);
+      ->error("Configuration version {} cannot be parsed and is ignored: {}.",
+              aRow.version.value,
+              parsed.error()[0].reason);
     return;
   }
   mLoop.Post(ConfigurationLoaded{
@@ -448,7 +462,8 @@
 
 int RunDaemon(const Settings& aSettings)
 {
-  // Signals are taken by the waiting thread only; all others inherit the mask.
+  // Only WaitAndStop() takes these signals. They are blocked before any other thread is started,
+  // because threads inherit the signal mask.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -461,7 +476,8 @@
   if (!aSettings.operatorKeys.empty()) {
     auto loaded = LoadOperatorKeys(aSettings.operatorKeys);
     if (!loaded) {
-      Log(log_part::kOperator)->error("{}.", loaded.error());
+      Log(log_part::kOperator)
+        ->error("The operator keys cannot be loaded: {}. The daemon exits.", loaded.error());
       return kExitBadInput;
     }
     keys = std::move(*loaded);
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -1,4 +1,5 @@
-/* The daemon on the users' platform: one event loop between clients and endpoints. */
+/* The daemon on the users' platform. It forwards clients' requests to endpoints, takes part in the
+ * fleet and serves the readiness check and the metrics, all on one event loop in one thread. */
 #include "daemon/edge_daemon.h"
 
 #include "core/boot_clock.h"
@@ -28,39 +29,47 @@
 
 namespace asio = boost::asio;
 
-/* Time between two writes of collected log lines. */
+/* Time between two flushes of the log, which also collect the metrics. */
 constexpr Duration kFlushInterval = 100ms;
-/* Time for which a stopping daemon still takes new connections: the balancer asks once a second
- * and needs two answers. */
-constexpr Duration kFarewellTime = 2'500ms;
-/* Taken off the grace time, so that the process ends by itself. */
-constexpr Duration kGraceMargin = 700ms;
-/* Time before the end of the grace time at which requests that still wait are sent on. */
-constexpr Duration kHandOnTime = 2'500ms;
-constexpr Duration kStopCheckInterval = 50ms;
-/* Time between two lines about the daemon's state. */
-constexpr Duration kStatusInterval = 10s;
-/* Time between two looks for runners whose entries have not come back. */
-constexpr Duration kSweepInterval = 250ms;
-/* Part of the drain limit after which the runners' table is read again by a daemon that gives no
- * orders; the rest is for the way to the store and back. */
-constexpr double kRunnerIntervalPart = 0.6;
-/* The same time for the daemon that gives the orders. */
-constexpr Duration kHolderRunnerInterval = 300ms;
-/* Descriptors left for files, the store, other daemons and listeners. */
-constexpr std::size_t kReservedDescriptors = 264;
-
-/* Returns how long a host leaves the lease to better equipped ones: the dispatcher of a large fleet
- * needs about a third of a core. */
-Duration HeadStart(double aCpuShare)
+/* Time after the stop signal for which new requests are still accepted. The readiness check fails
+ * from the signal on. The balancer makes it once per second and needs two failures before it sends
+ * no more connections. */
+constexpr Duration kDeregistrationDelay = 2'500ms;
+/* Time before the end of the grace period at which the process exits even if requests are open.
+ * This way it exits by itself before it is killed. */
+constexpr Duration kExitMargin = 700ms;
+/* Time before the end of the grace period at which requests that are not in flight at an endpoint
+ * are ended, so that their clients can send them to another daemon. */
+constexpr Duration kWaitingRequestMargin = 2'500ms;
+/* Time between two checks whether a stopping daemon can exit. */
+constexpr Duration kShutdownCheckInterval = 50ms;
+/* Time between two "status" log lines. */
+constexpr Duration kStatusLogInterval = 10s;
+/* Time between two checks for runners whose missing entries now count as removed. After an outage
+ * of the store, a missing entry does so only once a grace period is over. */
+constexpr Duration kRunnerSweepInterval = 250ms;
+/* Minimum time between two watches of the runner table on a daemon that is not the dispatcher, as
+ * a share of the drain limit. The rest of the limit is left for the call to the store. */
+constexpr double kRunnerWatchIntervalRatio = 0.6;
+/* Minimum time between two watches of the runner table on the dispatcher. */
+constexpr Duration kDispatcherRunnerWatchInterval = 300ms;
+/* Minimum of the limit on client connections. With more descriptors the limit is half of them, and
+ * the other half is left for endpoints, the store, other daemons, files and listeners. */
+constexpr std::size_t kMinConnectionLimit = 264;
+
+/* Returns the extra time that a host waits before it takes the order lease. A host with less than
+ * a quarter of a core waits, so that better equipped hosts can take the lease first: the dispatcher
+ * of a large fleet needs about a third of a core. */
+Duration AdditionalTakeoverDelay(double aCpuShare)
 {
-  constexpr double kEnoughCores = 0.25;
-  constexpr Duration kModestWait = 700ms;
-  return aCpuShare >= kEnoughCores ? Duration::zero() : kModestWait;
+  constexpr double kSufficientCores = 0.25;
+  constexpr Duration kLowCpuDelay = 700ms;
+  return aCpuShare >= kSufficientCores ? Duration::zero() : kLowCpuDelay;
 }
 
-/* Returns the names of the models that a runner holds, for logs. */
-std::string NamesOf(const std::map<ModelId, std::set<AdapterId>>& aModels)
+/* Returns the loaded models of a runner for logs: their names, separated by commas. "+" and a
+ * number follow the name of a model with loaded adapters. */
+std::string DescribeLoadedModels(const std::map<ModelId, std::set<AdapterId>>& aModels)
 {
   std::string names;
   for (const auto& [model, adapters] : aModels) {
@@ -124,7 +133,7 @@
                 .zone = ZoneId{ mSettings.zone },
                 .address = mSettings.edge.linkAddress,
                 .leaseSpacing = mSettings.edge.leaseSpacing,
-                .additionalTakeoverDelay = HeadStart(mSettings.edge.cpuShare) })
+                .additionalTakeoverDelay = AdditionalTakeoverDelay(mSettings.edge.cpuShare) })
     , mConfigurationFeed(mLoop,
                          mStore,
                          mLog,
@@ -134,24 +143,25 @@
         mLoop,
         mStore,
         mLog,
-        { .table = std::string{ platform::table::kRunners }, .minInterval = RunnerInterval() },
+        { .table = std::string{ platform::table::kRunners }, .minInterval = RunnerWatchInterval() },
         RunnerHandlers())
-    , mFront(mLoop,
-             { .address = mSettings.edge.frontAddress, .connectionLimit = ConnectionLimit() },
-             [this](http::Request aRequest, std::shared_ptr<http::Responder> aResponder) {
-               ServeRequest(mGateway, std::move(aRequest), std::move(aResponder));
-             })
-    , mReady(
+    , mClientServer(
+        mLoop,
+        { .address = mSettings.edge.frontAddress, .connectionLimit = ConnectionLimit() },
+        [this](http::Request aRequest, std::shared_ptr<http::Responder> aResponder) {
+          ServeRequest(mGateway, std::move(aRequest), std::move(aResponder));
+        })
+    , mReadinessServer(
         mLoop,
         { .address = mSettings.edge.readyAddress },
         [this](const http::Request& aRequest, const std::shared_ptr<http::Responder>& aResponder) {
           AnswerReadiness(aRequest, *aResponder);
         })
-    , mInspection(
+    , mMetricsServer(
         mLoop,
         { .address = mSettings.edge.metricsAddress },
         [this](const http::Request& aRequest, const std::shared_ptr<http::Responder>& aResponder) {
-          AnswerInspection(aRequest, *aResponder);
+          AnswerMetricsOrState(aRequest, *aResponder);
         })
     , mSignals(mLoop, SIGTERM, SIGINT, SIGHUP)
     , mFlushTimer(mLoop)
@@ -163,14 +173,14 @@
 
   int Run()
   {
-    for (http::Server* server : { &mFront, &mReady }) {
+    for (http::Server* server : { &mClientServer, &mReadinessServer }) {
       if (const std::string error = server->Listen(); !error.empty()) {
         std::fprintf(stderr, "cannot listen: %s\n", error.c_str());
         return kExitCannotListen;
       }
     }
     if (!mSettings.edge.metricsAddress.empty()) {
-      if (const std::string error = mInspection.Listen(); !error.empty()) {
+      if (const std::string error = mMetricsServer.Listen(); !error.empty()) {
         mLog.Write("metrics_unavailable", { { "reason", error } });
       }
     }
@@ -181,19 +191,20 @@
                  { "store", mSettings.edge.storeAddress } });
     ApplySettings();
     WaitForSignal();
-    FlushLater();
+    ScheduleFlush();
     if (const std::string error = mMember.Start(); !error.empty()) {
       std::fprintf(stderr, "cannot listen: %s\n", error.c_str());
       return kExitCannotListen;
     }
     mConfigurationFeed.Start();
     mRunnerFeed.Start();
-    SweepRunnersLater();
-    NoteStatusLater();
+    ScheduleRunnerSweep();
+    ScheduleStatusLog();
     mLoop.run();
     mLog.Flush();
     if (!mGateway.openRequests.empty()) {
-      // Their handlers refer to each other and to this object; the kernel closes their connections.
+      // The handlers of open requests refer to each other and to this object, so nothing is
+      // destroyed. The kernel closes the connections.
       std::_Exit(mExitCode);
     }
     return mExitCode;
@@ -202,42 +213,45 @@
 private:
   std::size_t ConnectionLimit() const
   {
-    return mSettings.edge.descriptorLimit > 2 * kReservedDescriptors
+    return mSettings.edge.descriptorLimit > 2 * kMinConnectionLimit
              ? mSettings.edge.descriptorLimit / 2
-             : kReservedDescriptors;
+             : kMinConnectionLimit;
   }
 
-  Duration RunnerInterval() const
+  Duration RunnerWatchInterval() const
   {
-    return std::chrono::duration_cast<Duration>(mSettings.edge.drainLimit * kRunnerIntervalPart);
+    return std::chrono::duration_cast<Duration>(mSettings.edge.drainLimit *
+                                                kRunnerWatchIntervalRatio);
   }
 
+  /* Passes on the settings that a reload can change and that other parts keep a copy of. */
   void ApplySettings()
   {
     mGateway.retries.SetOptions({ .ratio = mSettings.decision.retryBudgetRatio,
                                   .slack = mSettings.edge.retrySlack,
                                   .window = mSettings.edge.retryWindow,
-                                  .daemons = mDaemons });
+                                  .daemons = mDaemonCount });
     mDispatcher.SetStoreLimits(
       { .window = mSettings.edge.loadWindow, .overage = mSettings.edge.loadOverage });
   }
 
   void OnDaemonCount(std::uint32_t aCount)
   {
-    if (aCount != mDaemons) {
-      mLog.Write("daemon_count", { { "count", aCount }, { "former", mDaemons } });
-      mDaemons = aCount;
+    if (aCount != mDaemonCount) {
+      mLog.Write("daemon_count", { { "count", aCount }, { "former", mDaemonCount } });
+      mDaemonCount = aCount;
       ApplySettings();
     }
   }
 
-  /* Writes what an on-call engineer looks at first; counts are since the start. */
-  void NoteStatus()
+  /* Logs the figures that an on-call engineer looks at first. The counts of calls to the store and
+   * of log lines left out are since the start. */
+  void LogStatus()
   {
     const auto& store = mStore.counts();
     mLog.Write("status",
                { { "open_requests", mGateway.openRequests.size() },
-                 { "connections", mFront.counts().connections },
+                 { "connections", mClientServer.counts().connections },
                  { "questions_open", mPlacement.pendingRequestCount() },
                  { "dispatcher", mMember.lease().holder },
                  { "dispatcher_reachable", mMember.HasDispatcher() },
@@ -249,27 +263,29 @@
                  { "lines_left_out", mLog.leftOut() } });
   }
 
-  void NoteStatusLater()
+  void ScheduleStatusLog()
   {
-    mStatusTimer.expires_after(kStatusInterval);
+    mStatusTimer.expires_after(kStatusLogInterval);
     mStatusTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        NoteStatus();
-        NoteStatusLater();
+        LogStatus();
+        ScheduleStatusLog();
       }
     });
   }
 
-  /* Takes runners out whose entries have been gone for long enough. */
-  void SweepRunnersLater()
+  /* Schedules a check that removes runners from the dispatcher when their missing entries count as
+   * removed, and that adapts the watch interval of the runner table to this daemon's role. */
+  void ScheduleRunnerSweep()
   {
-    mSweepTimer.expires_after(kSweepInterval);
+    mSweepTimer.expires_after(kRunnerSweepInterval);
     mSweepTimer.async_wait([this](boost::system::error_code aError) {
       if (aError) {
         return;
       }
       const TimePoint now = BootTime();
-      mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kHolderRunnerInterval : RunnerInterval());
+      mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kDispatcherRunnerWatchInterval
+                                                        : RunnerWatchInterval());
       for (const auto& [id, runner] : mRunners.runners()) {
         if (runner.missingSince && mDispatcher.runners().contains(id) &&
             mRunners.Check(now, runner) == fleet::Exclusion::kGone) {
@@ -279,7 +295,7 @@
           mDispatcher.OnRunnerGone(id);
         }
       }
-      SweepRunnersLater();
+      ScheduleRunnerSweep();
     });
   }
 
@@ -327,10 +343,10 @@
                  { "routes", decoded->routeCount() },
                  { "services", decoded->services.size() },
                  { "row_version", aRow.version.value } });
-    mFront.SetLimits({ .headerBytes = decoded->limits.headerBytes,
-                       .bodyBytes = decoded->limits.bodyBytes,
-                       .headerTime = decoded->limits.headerTime,
-                       .idleTime = decoded->limits.idleTime });
+    mClientServer.SetLimits({ .headerBytes = decoded->limits.headerBytes,
+                              .bodyBytes = decoded->limits.bodyBytes,
+                              .headerTime = decoded->limits.headerTime,
+                              .idleTime = decoded->limits.idleTime });
     mGateway.configuration = std::make_shared<const fleet::FleetConfiguration>(std::move(*decoded));
     mDispatcher.SetConfiguration(mGateway.configuration);
     mMember.OnDispatcherInputChanged();
@@ -359,7 +375,7 @@
                { { "endpoint", entry->id },
                  { "service", entry->service },
                  { "address", entry->address },
-                 { "models", NamesOf(entry->holdings.models) },
+                 { "models", DescribeLoadedModels(entry->holdings.models) },
                  { "on_disk", entry->holdings.onDisk.size() },
                  { "row_version", aRow.version.value } });
     if (change != fleet::RunnerRegistry::Change::kJoined) {
@@ -395,7 +411,7 @@
                     "");
   }
 
-  void AnswerInspection(const http::Request& aRequest, http::Responder& aResponder)
+  void AnswerMetricsOrState(const http::Request& aRequest, http::Responder& aResponder)
   {
     constexpr unsigned kOk = 200;
     constexpr unsigned kNotFound = 404;
@@ -415,7 +431,7 @@
     aResponder.Send({ .status = kNotFound, .reason = "Not Found" }, "");
   }
 
-  /* Returns the state of this daemon, for people. */
+  /* Returns the state of this daemon as JSON, for operators. */
   std::string DescribeState() const
   {
     const TimePoint now = BootTime();
@@ -459,7 +475,7 @@
 
   std::vector<Gauge> Gauges() const
   {
-    const auto front = mFront.counts();
+    const auto front = mClientServer.counts();
     const auto client = mClient.counts();
     const auto& store = mStore.counts();
     return {
@@ -488,14 +504,14 @@
     };
   }
 
-  void FlushLater()
+  void ScheduleFlush()
   {
     mFlushTimer.expires_after(kFlushInterval);
     mFlushTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
         mLog.Flush();
         mMetrics.Collect();
-        FlushLater();
+        ScheduleFlush();
       }
     });
   }
@@ -507,15 +523,17 @@
         return;
       }
       if (aSignal == SIGHUP) {
-        Reload();
+        ReloadSettings();
       } else {
-        Stop();
+        BeginShutdown();
       }
       WaitForSignal();
     });
   }
 
-  void Reload()
+  /* Reads the settings file again. Addresses and other values that are used only at the start
+   * change nothing until a restart. An invalid file is rejected as a whole. */
+  void ReloadSettings()
   {
     auto settings = LoadSettings(mSettingsFile, SettingsUse::kEdge);
     if (!settings) {
@@ -530,37 +548,39 @@
     mLog.Write("reload", { { "file", mSettingsFile } });
   }
 
-  void Stop()
+  void BeginShutdown()
   {
     if (mIsStopping) {
       return;
     }
     mIsStopping = true;
-    mStoppedAt = BootTime();
+    mShutdownStartedAt = BootTime();
     mLog.Write("stopping", { { "open_requests", mGateway.openRequests.size() } });
-    mFront.Drain();
+    mClientServer.Drain();
     mMember.Release();
-    CheckStopped();
+    CheckShutdown();
   }
 
-  void CheckStopped()
+  void CheckShutdown()
   {
-    const Duration passed = BootTime() - mStoppedAt;
-    if (passed >= kFarewellTime && !std::exchange(mGateway.isLeaving, true)) {
-      // The balancer sends nobody here any more; who still holds a connection is sent on.
-      mFront.CloseIdle();
+    const Duration passed = BootTime() - mShutdownStartedAt;
+    if (passed >= kDeregistrationDelay && !std::exchange(mGateway.isLeaving, true)) {
+      // The balancer sends no more connections here. Idle connections are closed, and requests that
+      // arrive on others are refused with a retry time, so that clients use another daemon.
+      mClientServer.CloseIdle();
     }
-    if (passed >= mSettings.edge.shutdownGrace - kHandOnTime) {
+    if (passed >= mSettings.edge.shutdownGrace - kWaitingRequestMargin) {
       EndWaitingRequests(mGateway);
     }
     const bool isQuiet =
-      passed >= kFarewellTime && mGateway.openRequests.empty() && mFront.IsQuiet();
-    // Twice in a row: the last bytes of an answer may still be on their way out.
+      passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsQuiet();
+    // The server must be quiet at two checks in a row, because the last bytes of an answer may
+    // still be in transit at the first one.
     const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
     const bool isIdle = isQuiet && wasQuiet;
-    const bool isLate = passed >= mSettings.edge.shutdownGrace - kGraceMargin;
+    const bool isLate = passed >= mSettings.edge.shutdownGrace - kExitMargin;
     if (isIdle || isLate) {
-      NoteStatus();
+      LogStatus();
       mLog.Write(
         "stop",
         { { "open_requests", mGateway.openRequests.size() }, { "took_ms", Milliseconds(passed) } });
@@ -569,10 +589,10 @@
       mLoop.stop();
       return;
     }
-    mStopTimer.expires_after(kStopCheckInterval);
+    mStopTimer.expires_after(kShutdownCheckInterval);
     mStopTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        CheckStopped();
+        CheckShutdown();
       }
     });
   }
@@ -592,18 +612,18 @@
   FleetMember mMember;
   TableFeed mConfigurationFeed;
   TableFeed mRunnerFeed;
-  http::Server mFront;
-  http::Server mReady;
-  http::Server mInspection;
+  http::Server mClientServer;
+  http::Server mReadinessServer;
+  http::Server mMetricsServer;
   asio::signal_set mSignals;
   asio::steady_timer mFlushTimer;
   asio::steady_timer mStopTimer;
   asio::steady_timer mSweepTimer;
   asio::steady_timer mStatusTimer;
-  std::uint32_t mDaemons = 1;
+  std::uint32_t mDaemonCount = 1;
   bool mIsStopping = false;
   bool mWasQuiet = false;
-  TimePoint mStoppedAt{};
+  TimePoint mShutdownStartedAt{};
   int mExitCode = kExitOk;
 };
 
--- a/src/platform/json_reader.h
+++ b/src/platform/json_reader.h
@@ -1,4 +1,4 @@
-/* Strict reading of members of JSON objects. */
+/* Type-checked access to members of JSON objects. */
 #ifndef RHUBARBTRAIL_PLATFORM_JSON_READER_H
 #define RHUBARBTRAIL_PLATFORM_JSON_READER_H
 
@@ -14,14 +14,15 @@
 
 using Json = nlohmann::json;
 
-/* Thrown by the readers below; caught at the decoder's door and turned into an error value. */
+/* Thrown by the functions below if a value is missing or has the wrong type. The public decoders
+ * catch it and return its message. */
 class DecodeError : public std::runtime_error
 {
 public:
   using std::runtime_error::runtime_error;
 };
 
-/* Parses bytes as JSON; throws DecodeError. */
+/* Parses a JSON text. Throws DecodeError if it is invalid. */
 inline Json ParseJson(const std::string& aText)
 {
   Json value = Json::parse(aText, nullptr, false);
@@ -31,8 +32,8 @@
   return value;
 }
 
-/* Returns a member, or throws when it is missing. */
-inline const Json& Member(const Json& aObject, const char* aName)
+/* Returns a member. Throws DecodeError if it is missing or the value is not an object. */
+inline const Json& RequiredMember(const Json& aObject, const char* aName)
 {
   const auto found = aObject.find(aName);
   if (!aObject.is_object() || found == aObject.end()) {
@@ -41,47 +42,49 @@
   return *found;
 }
 
-inline const std::string& Text(const Json& aObject, const char* aName)
+inline const std::string& StringMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_string()) {
-    throw DecodeError(std::string{ aName } + " is not a text");
+    throw DecodeError(std::string{ aName } + " is not a string");
   }
   return value.get_ref<const std::string&>();
 }
 
-/* Returns a number that is not negative. */
-inline double Number(const Json& aObject, const char* aName)
+/* Returns a finite number of 0 or more. Throws DecodeError for any other value. */
+inline double NumberMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_number() || !(value.get<double>() >= 0.0) || !std::isfinite(value.get<double>())) {
     throw DecodeError(std::string{ aName } + " is not a number of 0 or more");
   }
   return value.get<double>();
 }
 
-inline double NumberOr(const Json& aObject, const char* aName, double aDefault)
+inline double NumberMemberOr(const Json& aObject, const char* aName, double aDefault)
 {
-  return aObject.contains(aName) ? Number(aObject, aName) : aDefault;
+  return aObject.contains(aName) ? NumberMember(aObject, aName) : aDefault;
 }
 
-/* Returns a whole number that is not negative. */
-inline std::uint64_t Whole(const Json& aObject, const char* aName)
+/* Returns an integer of 0 or more. Throws DecodeError for any other value. */
+inline std::uint64_t UnsignedMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_number_integer() ||
       (value.is_number_integer() && !value.is_number_unsigned() && value.get<std::int64_t>() < 0)) {
-    throw DecodeError(std::string{ aName } + " is not a whole number of 0 or more");
+    throw DecodeError(std::string{ aName } + " is not an integer of 0 or more");
   }
   return value.get<std::uint64_t>();
 }
 
-inline std::uint64_t WholeOr(const Json& aObject, const char* aName, std::uint64_t aDefault)
+inline std::uint64_t UnsignedMemberOr(const Json& aObject,
+                                      const char* aName,
+                                      std::uint64_t aDefault)
 {
-  return aObject.contains(aName) ? Whole(aObject, aName) : aDefault;
+  return aObject.contains(aName) ? UnsignedMember(aObject, aName) : aDefault;
 }
 
-inline bool FlagOr(const Json& aObject, const char* aName, bool aDefault)
+inline bool BoolMemberOr(const Json& aObject, const char* aName, bool aDefault)
 {
   const auto found = aObject.find(aName);
   if (found == aObject.end()) {
@@ -93,21 +96,21 @@
   return found->get<bool>();
 }
 
-inline const Json& List(const Json& aObject, const char* aName)
+inline const Json& ArrayMember(const Json& aObject, const char* aName)
 {
-  const Json& value = Member(aObject, aName);
+  const Json& value = RequiredMember(aObject, aName);
   if (!value.is_array()) {
-    throw DecodeError(std::string{ aName } + " is not a list");
+    throw DecodeError(std::string{ aName } + " is not an array");
   }
   return value;
 }
 
-inline Duration MillisecondsOf(double aValue)
+inline Duration FromMilliseconds(double aValue)
 {
   return Duration{ static_cast<Duration::rep>(aValue * 1e3) };
 }
 
-inline Duration SecondsOf(double aValue)
+inline Duration FromSeconds(double aValue)
 {
   return Duration{ static_cast<Duration::rep>(aValue * 1e6) };
 }
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -1,4 +1,4 @@
-/* Decodes what runners say of themselves, and encodes orders to them. */
+/* Decodes runners' entries and reports, and encodes orders to runners. */
 #include "platform/runner_decoder.h"
 
 #include "platform/json_reader.h"
@@ -10,12 +10,13 @@
 
 namespace {
 
-/* Splits MODEL/ADAPTER@VERSION, the form in which arriving adapters are listed. */
-fleet::ModelRef DecodeArriving(const std::string& aText)
+/* Decodes MODEL/ADAPTER or MODEL/ADAPTER@VERSION, as adapters that are being loaded are listed. The
+ * version is dropped. */
+fleet::ModelRef DecodeLoadingAdapter(const std::string& aText)
 {
   const auto slash = aText.find('/');
   if (slash == std::string::npos) {
-    throw DecodeError("an arriving adapter has no model");
+    throw DecodeError("coming has an adapter without its model");
   }
   return { .model = ModelId{ aText.substr(0, slash) },
            .adapter = AdapterId{ aText.substr(slash + 1, aText.find('@') - slash - 1) } };
@@ -27,9 +28,9 @@
   if (!aObject.contains(aName)) {
     return names;
   }
-  for (const Json& item : List(aObject, aName)) {
+  for (const Json& item : ArrayMember(aObject, aName)) {
     if (!item.is_string()) {
-      throw DecodeError(std::string{ aName } + " holds something else than names");
+      throw DecodeError(std::string{ aName } + " has an item that is not a string");
     }
     names.insert(ModelId{ item.get<std::string>() });
   }
@@ -40,24 +41,24 @@
 {
   fleet::RunnerHoldings holdings;
   if (aObject.contains("models")) {
-    for (const Json& item : List(aObject, "models")) {
-      std::set<AdapterId>& adapters = holdings.models[ModelId{ Text(item, "name") }];
+    for (const Json& item : ArrayMember(aObject, "models")) {
+      std::set<AdapterId>& adapters = holdings.models[ModelId{ StringMember(item, "name") }];
       if (!item.contains("adapters")) {
         continue;
       }
-      for (const Json& adapter : List(item, "adapters")) {
+      for (const Json& adapter : ArrayMember(item, "adapters")) {
         if (!adapter.is_string()) {
-          throw DecodeError("adapters holds something else than names");
+          throw DecodeError("adapters has an item that is not a string");
         }
-        // An adapter may be followed by its version.
+        // The name may be followed by "@" and a version, which is dropped.
         const std::string name = adapter.get<std::string>();
         adapters.insert(AdapterId{ name.substr(0, name.find('@')) });
       }
     }
   }
   if (aObject.contains("coming")) {
-    for (const Json& item : List(aObject, "coming")) {
-      holdings.loadingAdapters.insert(DecodeArriving(item.get<std::string>()));
+    for (const Json& item : ArrayMember(aObject, "coming")) {
+      holdings.loadingAdapters.insert(DecodeLoadingAdapter(item.get<std::string>()));
     }
   }
   if (const auto copies = aObject.find("atHand"); copies != aObject.end()) {
@@ -67,25 +68,25 @@
   return holdings;
 }
 
-fleet::RunnerState DecodeState(const std::string& aWord)
+fleet::RunnerState DecodeState(const std::string& aState)
 {
-  if (aWord == "ready") {
+  if (aState == "ready") {
     return fleet::RunnerState::kReady;
   }
-  if (aWord == "draining") {
+  if (aState == "draining") {
     return fleet::RunnerState::kDraining;
   }
-  throw DecodeError("state is unknown: " + aWord);
+  throw DecodeError("state is unknown: " + aState);
 }
 
-std::int64_t DecodeStart(const Json& aObject)
+std::int64_t DecodeStartTime(const Json& aObject)
 {
-  return static_cast<std::int64_t>(WholeOr(aObject, "born", 0));
+  return static_cast<std::int64_t>(UnsignedMemberOr(aObject, "born", 0));
 }
 
-/* Runs a decoder and turns what it throws into an error value. */
+/* Runs a decoder and returns its result, or the message of the exception that it throws. */
 template<typename Result, typename Decoder>
-tl::expected<Result, std::string> Guard(const Decoder& aDecoder)
+tl::expected<Result, std::string> CatchDecodeErrors(const Decoder& aDecoder)
 {
   try {
     return aDecoder();
@@ -96,7 +97,7 @@
   }
 }
 
-bool IsAddress(const std::string& aText)
+bool IsHostAndPort(const std::string& aText)
 {
   const auto colon = aText.rfind(':');
   return colon != std::string::npos && colon > 0 && colon + 1 < aText.size() &&
@@ -110,23 +111,25 @@
 tl::expected<fleet::RunnerEntry, std::string> DecodeRunnerEntry(const std::string& aId,
                                                                 const std::string& aDocument)
 {
-  return Guard<fleet::RunnerEntry>([&] {
+  return CatchDecodeErrors<fleet::RunnerEntry>([&] {
     const Json document = ParseJson(aDocument);
     fleet::RunnerEntry entry;
     entry.id = EndpointId{ aId };
-    entry.service = ServiceId{ Text(document, "backend") };
-    entry.zone = ZoneId{ Text(document, "zone") };
-    entry.address = Text(document, "address");
-    if (!IsAddress(entry.address)) {
+    entry.service = ServiceId{ StringMember(document, "backend") };
+    entry.zone = ZoneId{ StringMember(document, "zone") };
+    entry.address = StringMember(document, "address");
+    if (!IsHostAndPort(entry.address)) {
       throw DecodeError("address is not HOST:PORT");
     }
-    entry.slots = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(Whole(document, "slots")));
-    entry.state = DecodeState(Text(document, "state"));
+    entry.slots =
+      std::max<std::uint32_t>(1, static_cast<std::uint32_t>(UnsignedMember(document, "slots")));
+    entry.state = DecodeState(StringMember(document, "state"));
     if (document.contains("remainingMs")) {
-      entry.leavesIn = MillisecondsOf(Number(document, "remainingMs"));
+      entry.leavesIn = FromMilliseconds(NumberMember(document, "remainingMs"));
     }
-    // "seq" is left out: in an entry it counts writes of the entry, in a report accepted orders.
-    entry.startedAtMs = DecodeStart(document);
+    // "seq" is not read here. In an entry it counts the writes of the entry, and only in a report
+    // the accepted orders.
+    entry.startedAtMs = DecodeStartTime(document);
     entry.holdings = DecodeHoldings(document);
     return entry;
   });
@@ -134,16 +137,17 @@
 
 tl::expected<fleet::RunnerReport, std::string> DecodeRunnerReport(const std::string& aDocument)
 {
-  return Guard<fleet::RunnerReport>([&] {
+  return CatchDecodeErrors<fleet::RunnerReport>([&] {
     const Json document = ParseJson(aDocument);
     fleet::RunnerReport report;
-    report.isBusy = FlagOr(document, "busy", false);
-    report.orderCount = WholeOr(document, "seq", 0); // Accepted orders, unlike in an entry.
-    report.startedAtMs = DecodeStart(document);
-    report.running = static_cast<std::uint32_t>(WholeOr(document, "running", 0));
-    report.waiting = static_cast<std::uint32_t>(WholeOr(document, "waiting", 0));
+    report.isBusy = BoolMemberOr(document, "busy", false);
+    report.orderCount =
+      UnsignedMemberOr(document, "seq", 0); // Accepted orders, unlike in an entry.
+    report.startedAtMs = DecodeStartTime(document);
+    report.running = static_cast<std::uint32_t>(UnsignedMemberOr(document, "running", 0));
+    report.waiting = static_cast<std::uint32_t>(UnsignedMemberOr(document, "waiting", 0));
     if (document.contains("state")) {
-      report.state = DecodeState(Text(document, "state"));
+      report.state = DecodeState(StringMember(document, "state"));
     }
     report.holdings = DecodeHoldings(document);
     return report;
@@ -154,7 +158,7 @@
 {
   return { .method = "GET",
            .target = std::string{ path::kReport },
-           .fields = { { std::string{ field::kTarget }, aRunner.str() } },
+           .fields = { { std::string{ field::kTargetEndpoint }, aRunner.str() } },
            .body = {} };
 }
 
@@ -165,14 +169,14 @@
              { "model", aOrder.subject.model.str() },
              { "holder", aOrder.holder },
              { "fencingToken", aOrder.fence.value },
-             { "expectedRev", aOrder.expectedOrderCount } }; // Compared with the order count.
+             { "expectedRev", aOrder.expectedOrderCount } }; // The runner's order count.
   if (!aOrder.subject.adapter.empty()) {
     body["adapter"] = aOrder.subject.adapter.str();
   }
   return { .method = "POST",
            .target = std::string{ path::kOrder },
            .fields = { { "Content-Type", "application/json" },
-                       { std::string{ field::kTarget }, aOrder.runner.str() } },
+                       { std::string{ field::kTargetEndpoint }, aOrder.runner.str() } },
            .body = body.dump() };
 }
 
