--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -144,7 +144,8 @@
       mConfigurationStore,
       { .dump = [this] { return mLoop.Dump(); },
         .metrics = [this] { return mMetrics.ToText(Gauges()); },
-        .onConfigurationAccepted = [this](const ConfigurationRow& aRow) { LoadConfiguration(aRow); },
+        .onConfigurationAccepted =
+          [this](const ConfigurationRow& aRow) { LoadConfiguration(aRow); },
         .drain = [this] { mIsDrainRequested = true; },
         .releaseFromQuarantine =
           [this](FingerprintId aFingerprint) {
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -62,7 +62,7 @@
 struct WriteLease
 {
   OrderLeaseRow row;
-  RowVersion expected;
+  RowVersion expectedVersion;
 };
 
 using LeaseAction = std::variant<ReadLease, WriteLease>;
--- a/src/decision/fleet/runner_type.h
+++ b/src/decision/fleet/runner_type.h
@@ -50,7 +50,7 @@
   std::uint32_t slots = 1;
   RunnerState state = RunnerState::kReady;
   /* Time until the runner stops, even if it still runs requests. */
-  std::optional<Duration> leavesIn;
+  std::optional<Duration> timeUntilStop;
   /* Unix time of the runner's start. A changed value means that it restarted. */
   std::int64_t startedAtMs = 0;
   RunnerHoldings holdings;
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -133,7 +133,7 @@
   mServices.store.Write({ .table = kFleetTable,
                           .key = kLeaseKey,
                           .value = EncodeLeaseRow(aWrite.row),
-                          .expected = aWrite.expected },
+                          .expectedVersion = aWrite.expectedVersion },
                         [this](const StoreResult& aResult) {
                           if (!mIsClosed) {
                             OnLeaseWritten(aResult);
@@ -550,10 +550,10 @@
       .onBody = [](std::string_view) {},
       .onEnd =
         [this, status, order = aOrder](http::CallResult aResult) {
-          const fleet::OrderOutcome outcome = aResult == http::CallResult::kNotConnected
-                                                ? fleet::OrderOutcome::kNotSent
-                                              : *status == 0 ? fleet::OrderOutcome::kUnknown
-                                                             : platform::DecodeOrderAnswer(*status);
+          const fleet::OrderOutcome outcome =
+            aResult == http::CallResult::kNotConnected ? fleet::OrderOutcome::kNotSent
+            : *status == 0                             ? fleet::OrderOutcome::kUnknown
+                                                       : platform::DecodeOrderOutcome(*status);
           const bool isExpected = outcome == fleet::OrderOutcome::kAccepted ||
                                   outcome == fleet::OrderOutcome::kAlreadyDone;
           mServices.log.Write(isExpected ? "order_answered" : "order_refused",
@@ -579,7 +579,7 @@
   auto progress = std::make_shared<Progress>();
   mServices.client.Start(
     { .address = aWanted.address,
-      .request = platform::EncodeReportCall(aWanted.runner),
+      .request = platform::EncodeReportRequest(aWanted.runner),
       .connectTime = kRunnerConnectTimeout,
       .answerTime = kReportTimeout,
       .silenceTime = kReportTimeout },
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -56,7 +56,7 @@
     Fail(ResultCode::kAttemptsExhausted, "status_would_promise_not_run");
     return;
   }
-  http::AnswerHead head = platform::EncodeAnswer(*mAttempt.head);
+  http::AnswerHead head = platform::EncodeForwardedAnswer(*mAttempt.head);
   const bool hasNoBody = mRequest.method == "HEAD" || status == 204 || status == 304;
   if (hasNoBody) {
     mResponder->SendHead(head);
@@ -70,7 +70,7 @@
 void RequestFlow::SendOwnAnswer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter)
 {
   const ResultCodeInfo& info = Describe(aCode);
-  http::AnswerHead head = platform::EncodeOwnAnswer(aStatus, mClient.requestId, aRetryAfter);
+  http::AnswerHead head = platform::EncodeDaemonAnswer(aStatus, mClient.requestId, aRetryAfter);
   head.reason = info.name;
   mResponder->Send(std::move(head),
                    fmt::format(R"({{"code":{},"name":"{}","message":"{}"}})",
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -388,12 +388,12 @@
   const bool mayRepeat = mRoute->MayRepeatOrResume();
   http::CallOptions options{
     .address = runner->entry.address,
-    .request = platform::EncodeForward(mRequest,
-                                       { .endpoint = aEndpoint,
-                                         .timeLeft = TimeLeft(),
-                                         .priority = mRoute->priority,
-                                         .hasPriority = UsesModels(),
-                                         .lastEventId = mLastEventId }),
+    .request = platform::EncodeForwardedRequest(mRequest,
+                                                { .endpoint = aEndpoint,
+                                                  .timeLeft = TimeLeft(),
+                                                  .priority = mRoute->priority,
+                                                  .hasPriority = UsesModels(),
+                                                  .lastEventId = mLastEventId }),
     .reuse = mayRepeat ? http::Reuse::kAllowed : http::Reuse::kFresh,
     .connectTime = kConnectTimeout,
     .answerTime = AnswerTimeout(),
@@ -432,7 +432,8 @@
     mContext.runners.RecordLoad(BootTime(), mAttempt.endpoint, *decodedHead.load);
   }
   const bool isSuccess = aHead.status >= 200 && aHead.status < 300;
-  mAttempt.isInvalid = !decodedHead.isNotRun && (!decodedHead.isSigned || decodedHead.isEncoded);
+  mAttempt.isInvalid =
+    !decodedHead.isNotRun && (!decodedHead.hasSignature || decodedHead.isEncoded);
   mAttempt.isStream = isSuccess && !mAttempt.isInvalid && mRoute->kind == RouteKind::kStream;
   mAttempt.head = aHead;
   mAttempt.decodedHead = std::move(decodedHead);
@@ -470,7 +471,7 @@
 {
   std::string forwarded;
   while (auto event = mEventSplitter.Next()) {
-    std::string id = platform::EventId(*event);
+    std::string id = platform::DecodeEventId(*event);
     if (!id.empty()) {
       mLastEventId = std::move(id);
     }
@@ -494,7 +495,7 @@
   }
   mIsHeadSent = true;
   mFirstByteAt = BootTime();
-  http::AnswerHead head = platform::EncodeAnswer(*mAttempt.head);
+  http::AnswerHead head = platform::EncodeForwardedAnswer(*mAttempt.head);
   head.framing = http::Framing::kChunked;
   mResponder->SendHead(head);
 }
@@ -566,7 +567,7 @@
   // Connections break for many reasons, but a new one fails only if the process is gone. Anything
   // else does not make the request a suspect.
   mContext.client.Start({ .address = runner->entry.address,
-                          .request = platform::EncodeReportCall(mAttempt.endpoint),
+                          .request = platform::EncodeReportRequest(mAttempt.endpoint),
                           .reuse = http::Reuse::kFresh,
                           .connectTime = kConnectTimeout,
                           .answerTime = kConnectTimeout },
@@ -607,7 +608,7 @@
                          { "end", fleet::ToString(aEnd) },
                          { "result", aResult },
                          { "status", mAttempt.head ? mAttempt.head->status : 0U },
-                         { "signed", mAttempt.decodedHead.isSigned },
+                         { "signed", mAttempt.decodedHead.hasSignature },
                          { "took_ms", Milliseconds(BootTime() - mAttempt.startedAt) },
                          { "runs", mAttemptState.runs },
                          { "refusals", mAttemptState.refusals },
--- a/src/load/load_commands.cpp
+++ b/src/load/load_commands.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void LoadCommands::Add(CLI::App& aApp)
+void LoadCommands::AddTo(CLI::App& aApp)
 {
   mLoadCommand = aApp.add_subcommand("load", "Send the requests of a scenario to daemons.");
   mLoadCommand->add_option("--scenario", mScenarioFile, "Scenario file (YAML).");
--- a/src/load/load_commands.h
+++ b/src/load/load_commands.h
@@ -16,7 +16,7 @@
 {
 public:
   /* Adds the subcommands to the command line. */
-  void Add(CLI::App& aApp);
+  void AddTo(CLI::App& aApp);
 
   /* Returns whether the command line contains `load`. */
   bool IsParsed() const;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -81,9 +81,9 @@
   AddDaemonOptions(*edge, edgeOptions);
 
   rhubarbtrail::OperatorCommands commands;
-  commands.Add(app);
+  commands.AddTo(app);
   rhubarbtrail::LoadCommands load;
-  load.Add(app);
+  load.AddTo(app);
 
   try {
     app.parse(aArgc, aArgv);
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -149,7 +149,7 @@
   return command;
 }
 
-void OperatorCommands::Add(CLI::App& aApp)
+void OperatorCommands::AddTo(CLI::App& aApp)
 {
   AddConfigCommands(aApp);
   AddOperationCommands(aApp);
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -21,7 +21,7 @@
 {
 public:
   /* Adds the subcommands to the command line. */
-  void Add(CLI::App& aApp);
+  void AddTo(CLI::App& aApp);
 
   /* Runs the parsed subcommand and returns its exit code. */
   int Run() { return mRun ? mRun() : 1; }
--- a/src/platform/request_headers.cpp
+++ b/src/platform/request_headers.cpp
@@ -105,7 +105,7 @@
   return decoded;
 }
 
-http::Request EncodeForward(const http::Request& aRequest, const ForwardOptions& aOptions)
+http::Request EncodeForwardedRequest(const http::Request& aRequest, const ForwardOptions& aOptions)
 {
   http::Request forward{
     .method = aRequest.method, .target = aRequest.target, .fields = {}, .body = aRequest.body
@@ -141,7 +141,7 @@
   constexpr unsigned kMisdirected = 421;
   EndpointAnswer answer;
   answer.requestId = std::string{ http::Find(aHead.fields, field::kRequestId).value_or("") };
-  answer.isSigned = http::Find(aHead.fields, field::kSignature).has_value();
+  answer.hasSignature = http::Find(aHead.fields, field::kSignature).has_value();
   answer.isNotRun =
     http::Find(aHead.fields, field::kNotExecuted).has_value() || aHead.status == kMisdirected;
   const auto encoding = http::Find(aHead.fields, field::kContentEncoding);
@@ -157,7 +157,7 @@
   return answer;
 }
 
-http::AnswerHead EncodeAnswer(const http::AnswerHead& aHead)
+http::AnswerHead EncodeForwardedAnswer(const http::AnswerHead& aHead)
 {
   http::AnswerHead answer{ .status = aHead.status, .reason = aHead.reason };
   for (const http::Field& item : aHead.fields) {
@@ -170,9 +170,9 @@
   return answer;
 }
 
-http::AnswerHead EncodeOwnAnswer(unsigned aStatus,
-                                 const std::string& aRequestId,
-                                 Duration aRetryAfter)
+http::AnswerHead EncodeDaemonAnswer(unsigned aStatus,
+                                    const std::string& aRequestId,
+                                    Duration aRetryAfter)
 {
   http::AnswerHead head{ .status = aStatus };
   if (!aRequestId.empty()) {
@@ -191,7 +191,7 @@
   return aRequest.method == "GET" && aRequest.target == path::kReady;
 }
 
-std::string EventId(std::string_view aEvent)
+std::string DecodeEventId(std::string_view aEvent)
 {
   while (!aEvent.empty()) {
     std::string_view line = RemoveFirstItem(aEvent, '\n');
--- a/src/platform/request_headers.h
+++ b/src/platform/request_headers.h
@@ -36,13 +36,13 @@
 /* Returns the request to send to an endpoint: the client's, with the given values added. Fields
  * that concern only the client's connection or the framing are left out, and so are those that only
  * a daemon may set. */
-http::Request EncodeForward(const http::Request& aRequest, const ForwardOptions& aOptions);
+http::Request EncodeForwardedRequest(const http::Request& aRequest, const ForwardOptions& aOptions);
 
 /* The header fields of an endpoint's answer that the daemon uses. */
 struct EndpointAnswer
 {
   std::string requestId;
-  bool isSigned = false;  ///< The answer has a signature. It is not verified.
+  bool hasSignature = false; ///< The answer has a signature. It is not verified.
   bool isNotRun = false;  ///< The endpoint has not run the request, by its own statement or because
                           ///< the request was addressed to another endpoint (status 421).
   bool isEncoded = false; ///< The body has a content encoding, for example compression.
@@ -54,19 +54,19 @@
 
 /* Returns the header to send to the client: the endpoint's without its load and without fields that
  * concern only its connection or the framing. */
-http::AnswerHead EncodeAnswer(const http::AnswerHead& aHead);
+http::AnswerHead EncodeForwardedAnswer(const http::AnswerHead& aHead);
 
 /* Returns the header of an answer that the daemon itself gives, with a JSON body. A retry time
  * above zero is sent as well, in seconds with three decimals. */
-http::AnswerHead EncodeOwnAnswer(unsigned aStatus,
-                                 const std::string& aRequestId,
-                                 Duration aRetryAfter);
+http::AnswerHead EncodeDaemonAnswer(unsigned aStatus,
+                                    const std::string& aRequestId,
+                                    Duration aRetryAfter);
 
 /* Returns whether a request is the balancer's readiness check. */
 bool IsReadinessCheck(const http::Request& aRequest);
 
 /* Returns the id of a server-sent event, or an empty string if it has none. */
-std::string EventId(std::string_view aEvent);
+std::string DecodeEventId(std::string_view aEvent);
 
 } // namespace rhubarbtrail::platform
 
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -125,7 +125,7 @@
       std::max<std::uint32_t>(1, static_cast<std::uint32_t>(UnsignedMember(document, "slots")));
     entry.state = DecodeState(StringMember(document, "state"));
     if (document.contains("remainingMs")) {
-      entry.leavesIn = FromMilliseconds(NumberMember(document, "remainingMs"));
+      entry.timeUntilStop = FromMilliseconds(NumberMember(document, "remainingMs"));
     }
     // "seq" is not read here. In an entry it counts the writes of the entry, and only in a report
     // the accepted orders.
@@ -154,7 +154,7 @@
   });
 }
 
-http::Request EncodeReportCall(const EndpointId& aRunner)
+http::Request EncodeReportRequest(const EndpointId& aRunner)
 {
   return { .method = "GET",
            .target = std::string{ path::kReport },
@@ -180,7 +180,7 @@
            .body = body.dump() };
 }
 
-fleet::OrderOutcome DecodeOrderAnswer(unsigned aStatus)
+fleet::OrderOutcome DecodeOrderOutcome(unsigned aStatus)
 {
   switch (aStatus) {
     case 202:
--- a/src/platform/runner_decoder.h
+++ b/src/platform/runner_decoder.h
@@ -20,13 +20,13 @@
 tl::expected<fleet::RunnerReport, std::string> DecodeRunnerReport(const std::string& aDocument);
 
 /* Returns the HTTP request for a runner's report. */
-http::Request EncodeReportCall(const EndpointId& aRunner);
+http::Request EncodeReportRequest(const EndpointId& aRunner);
 
 /* Returns the HTTP request that sends an order to a runner. */
 http::Request EncodeOrder(const fleet::RunnerOrder& aOrder);
 
 /* Returns the outcome of an order from the HTTP status of the runner's answer. */
-fleet::OrderOutcome DecodeOrderAnswer(unsigned aStatus);
+fleet::OrderOutcome DecodeOrderOutcome(unsigned aStatus);
 
 } // namespace rhubarbtrail::platform
 
--- a/src/platform/store_codec.cpp
+++ b/src/platform/store_codec.cpp
@@ -61,7 +61,7 @@
 {
   const Json key{ { "table", aWrite.table }, { "part", "" }, { "key", aWrite.key } };
   Json condition = key;
-  condition["ver"] = aWrite.expected.value;
+  condition["ver"] = aWrite.expectedVersion.value;
   // Despite its name, this member is the list of the row versions that the write requires.
   Json body{ { "expectedRev", Json::array({ condition }) },
              { "setKeys", Json::array() },
--- a/src/platform/store_codec.h
+++ b/src/platform/store_codec.h
@@ -29,7 +29,7 @@
   std::string table;
   std::string key;
   std::optional<std::string> value;
-  RowVersion expected; ///< Version that the row must have. 0: it must not exist.
+  RowVersion expectedVersion; ///< Version that the row must have. 0: it must not exist.
 };
 
 /* An answer of the store to a read, a watch or a write. */
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -162,7 +162,7 @@
   CHECK(client.work->promptTokens == 1'460);
   REQUIRE(client.work->parts.size() == 2);
   CHECK(client.work->parts[0].id == 0x5c);
-  const auto forward = EncodeForward(
+  const auto forward = EncodeForwardedRequest(
     request,
     { .endpoint = EndpointId{ "i-1" }, .timeLeft = 700ms, .priority = 2, .hasPriority = true });
   CHECK(forward.method == "POST");
@@ -185,7 +185,7 @@
   const auto full = DecodeEndpointAnswer(
     { .status = 503, .fields = { { "X-Not-Executed", "1" }, { "X-Server-Load", "3,1,8" } } });
   CHECK(full.isNotRun);
-  CHECK_FALSE(full.isSigned);
+  CHECK_FALSE(full.hasSignature);
   REQUIRE(full.load.has_value());
   CHECK(full.load->waiting == 1);
   CHECK(DecodeEndpointAnswer({ .status = 421 }).isNotRun);
@@ -198,8 +198,8 @@
 
 TEST_CASE("rows of the store survive the way there and back")
 {
-  const auto write =
-    EncodeWrite({ .table = "t", .key = "k", .value = std::string("a\0b", 3), .expected = { 4 } });
+  const auto write = EncodeWrite(
+    { .table = "t", .key = "k", .value = std::string("a\0b", 3), .expectedVersion = { 4 } });
   CHECK(write.body.find("YQBi") != std::string::npos);
   const auto answer = DecodeStoreAnswer(
     R"({"rows":[{"table":"t","part":"","key":"k","value":"YQBi","ver":5},)"
@@ -214,9 +214,9 @@
 
 TEST_CASE("an event's id is read whatever its line ends")
 {
-  CHECK(EventId("id: 12\ndata: x\n\n") == "12");
-  CHECK(EventId("x-weight-versions: 3\r\nid:7\r\ndata: x\r\n\r\n") == "7");
-  CHECK(EventId("data: id: 5\n\n").empty());
+  CHECK(DecodeEventId("id: 12\ndata: x\n\n") == "12");
+  CHECK(DecodeEventId("x-weight-versions: 3\r\nid:7\r\ndata: x\r\n\r\n") == "7");
+  CHECK(DecodeEventId("data: id: 5\n\n").empty());
 }
 
 TEST_CASE("only the adapter knows the platform's names")
