--- a/src/decision/message_type.h
+++ b/src/decision/message_type.h
@@ -1,4 +1,4 @@
-/* The messages between daemons. A message may be lost, late or doubled. */
+/* The messages between daemons. A message may be lost, delayed, duplicated or reordered. */
 #ifndef RHUBARBTRAIL_DECISION_MESSAGE_TYPE_H
 #define RHUBARBTRAIL_DECISION_MESSAGE_TYPE_H
 
@@ -14,7 +14,8 @@
 
 namespace rhubarbtrail {
 
-/* What is asked of a runner: a model, and an adapter of it unless empty. */
+/* What a request needs loaded: a model, and one of its adapters unless the adapter is empty.
+ * Requests to a plain service have an empty model. */
 struct Artifact
 {
   ModelId model;
@@ -24,48 +25,51 @@
   bool operator==(const Artifact&) const = default;
 };
 
-/* Asks the holder of a cell for replicas, and reports the use of known ones. */
+/* Requests replicas of an artifact from the holder of its cell, and reports the router's use of
+ * them. */
 struct DemandMessage
 {
   CellId cell;
   Artifact artifact;
-  Duration timeLeft{};            ///< Until the earliest deadline among the waiting requests.
-  std::uint32_t waiting = 0;      ///< Requests that have no replica.
-  std::uint32_t inFlight = 0;     ///< Requests that run on a replica now.
-  std::uint32_t startedSince = 0; ///< Requests started since the last message.
+  Duration timeLeft{};            ///< Time to the earliest deadline of the waiting requests, or 0.
+  std::uint32_t waiting = 0;      ///< Requests in the router's queue for the artifact.
+  std::uint32_t inFlight = 0;     ///< Attempts for the artifact that have not ended yet.
+  std::uint32_t startedSince = 0; ///< Attempts started since the router's previous demand.
 };
 
-/* A replica that a router may use. */
+/* A loaded replica that a router may use. */
 struct ReplicaLocation
 {
   EndpointId runner;
-  std::uint32_t concurrency = 1; ///< Requests that this daemon may have in flight there.
-  std::uint32_t reportedLoad = 0;
+  std::uint32_t concurrency = 1;  ///< Requests that the router may have in flight on the runner.
+  std::uint32_t reportedLoad = 0; ///< Running and queued requests in the runner's last inventory.
 };
 
 enum class DemandStatus : std::uint8_t
 {
-  kReady,
-  kLoading,
-  kRefused,
-  kNotHolder,
+  kReady,     ///< The reply lists the replicas.
+  kLoading,   ///< Another reply follows when the artifact is loaded or refused.
+  kRefused,   ///< The artifact cannot be loaded now. The field refusal has the reason.
+  kNotHolder, ///< The daemon does not hold the cell's lease.
 };
 
-/* Answers a demand; sent again when a load ends. */
+/* Answers a demand. The holder sends another reply when a load that routers wait for has ended. */
 struct DemandReplyMessage
 {
   CellId cell;
   Artifact artifact;
   DemandStatus status = DemandStatus::kReady;
   std::vector<ReplicaLocation> replicas;
-  Duration expectedWait{};
-  ResultCode refusal = ResultCode::kOk;
-  Duration refusesBelow{}; ///< Only requests with less time left are refused; 0: all.
-  DaemonId holder;         ///< The holder as far as known, with kNotHolder.
+  Duration expectedWait{}; ///< kLoading: duration of the load. kRefused: delay before a repeat.
+  ResultCode refusal = ResultCode::kOk; ///< kRefused: result code for the refused requests.
+  Duration refusesBelow{}; ///< kRefused: requests with less time left are refused, or all if 0.
+  DaemonId holder;         ///< kNotHolder: the holder that the daemon knows of, or empty.
+  /* Fencing token that the sender knows of. It is lower than in an earlier reply if the sender is a
+   * former holder. */
   Fence fence;
 };
 
-/* Tells a router to stop using a replica, and to say when its last request has ended. */
+/* Tells a router to stop using a replica, and to answer when it has no request left there. */
 struct DrainMessage
 {
   CellId cell;
@@ -74,7 +78,8 @@
   Fence fence;
 };
 
-/* Says that a router has no request in flight on a drained replica. */
+/* Answers a DrainMessage, with the same values, when the router has no request in flight on the
+ * replica. */
 struct DrainedMessage
 {
   CellId cell;
@@ -83,7 +88,8 @@
   Fence fence;
 };
 
-/* Asks the issuer of an order to give it up. */
+/* Sent by a new holder to the issuer of an order that may still be in flight. The issuer must not
+ * send the order again. */
 struct WithdrawOrderMessage
 {
   CellId cell;
@@ -91,7 +97,8 @@
   Incarnation issuer;
 };
 
-/* Says that an order is not in flight any more and will never be sent again. */
+/* Answers a WithdrawOrderMessage when the order is no longer in flight. The issuer never sends it
+ * again, so the new holder can release the memory that it has reserved for the order. */
 struct OrderWithdrawnMessage
 {
   CellId cell;
@@ -99,34 +106,38 @@
   Incarnation issuer;
 };
 
-/* Exchanged each second: liveness, the version in force, and how fresh it is. */
+/* Shows that a daemon is alive and which configuration version it has. A daemon sends one to each
+ * other daemon every heartbeatInterval, and that daemon answers. It also broadcasts an unrequested
+ * answer when it has loaded a configuration. */
 struct HeartbeatMessage
 {
   ConfigVersion version;
-  bool reply = false; ///< Set when this answers a heartbeat.
-  Duration sentAt{};  ///< The asking daemon's own clock, echoed in the answer.
+  bool reply = false; ///< True in an answer. Answers are not answered.
+  /* When the answered heartbeat was sent, by the clock of its sender. The answer echoes the value.
+   * It is 0 in an unrequested answer. */
+  Duration sentAt{};
 };
 
-/* Carries a whole accepted configuration. */
+/* Transfers an accepted configuration to a daemon that requested it. */
 struct ConfigurationMessage
 {
   ConfigurationRow row;
 };
 
-/* Asks for the configuration after hearing of a newer version. */
+/* Requests the configuration of a daemon that has a newer version. */
 struct ConfigurationRequestMessage
 {
-  ConfigVersion atLeast;
+  ConfigVersion atLeast; ///< Not answered by a daemon whose version is lower.
 };
 
-/* Says that an endpoint is leaving and takes no new work. */
+/* Notifies other daemons that an endpoint process is leaving and takes no new requests. */
 struct EndpointLeavingMessage
 {
   EndpointId endpoint;
   std::string bootId;
 };
 
-/* Names requests that were in flight on an endpoint when it crashed. */
+/* Names the sender's requests that were in flight on an endpoint when it crashed. */
 struct SuspectsMessage
 {
   EndpointId endpoint;
@@ -134,50 +145,51 @@
   std::vector<FingerprintId> fingerprints;
 };
 
-/* Names a request that crashed an endpoint while it ran alone. */
+/* Quarantines a request that crashed an endpoint while it ran alone. Without a positive expiresIn,
+ * the message ends the quarantine. */
 struct ConvictedMessage
 {
   FingerprintId fingerprint;
-  Duration expiresIn{};
+  Duration expiresIn{}; ///< Time for which the request is refused.
 };
 
-/* Says that a suspect request has completed, and is one no longer. */
+/* Tells that a suspect request has completed and is no longer a suspect. */
 struct ClearedMessage
 {
   FingerprintId fingerprint;
 };
 
-/* Asks the holder of a cell for a runner on which a suspect request runs alone. */
+/* Requests a runner from the holder of a cell, so that a suspect request runs alone on it. */
 struct IsolationRequestMessage
 {
   CellId cell;
   Artifact artifact;
   RequestId request;
-  std::uint64_t ask = 0; ///< Rises with each repeat; the answer names it.
-  Duration timeLeft{};
+  std::uint64_t ask = 0; ///< Number of this message, echoed in the answer. Each repeat raises it.
+  Duration timeLeft{};   ///< Time to the deadline of the request.
 };
 
 enum class IsolationStatus : std::uint8_t
 {
-  kGranted,
-  kWaiting,
-  kRefused, ///< Too many suspects are waiting.
-  kNotHolder,
+  kGranted,   ///< The runner is reserved for the request.
+  kWaiting,   ///< Another answer follows when a runner is reserved.
+  kRefused,   ///< Too many suspects are waiting.
+  kNotHolder, ///< The daemon does not hold the cell's lease.
 };
 
-/* Answers an isolation request; sent again when the runner is free. */
+/* Answers an isolation request. The holder sends another answer when it has reserved a runner. */
 struct IsolationGrantMessage
 {
   CellId cell;
   RequestId request;
-  std::uint64_t ask = 0;
+  std::uint64_t ask = 0; ///< Number of the answered isolation request.
   IsolationStatus status = IsolationStatus::kWaiting;
-  EndpointId runner;
-  Duration validFor{}; ///< From the time at which the ask was sent.
-  DaemonId holder;     ///< The holder as far as known, with kNotHolder.
+  EndpointId runner;   ///< kGranted: the reserved runner.
+  Duration validFor{}; ///< kGranted: validity, counted from when the answered request was sent.
+  DaemonId holder;     ///< kNotHolder: the holder that the daemon knows of, or empty.
 };
 
-/* Gives an isolated runner back, or a request for one up. */
+/* Ends the reservation of a runner, or cancels an isolation request. */
 struct IsolationReleaseMessage
 {
   CellId cell;
--- a/src/decision/row.cpp
+++ b/src/decision/row.cpp
@@ -1,4 +1,4 @@
-/* Keys of the rows in the table service. */
+/* The keys of rows in the table service. */
 #include "decision/row_type.h"
 
 namespace rhubarbtrail {
--- a/src/decision/row_type.h
+++ b/src/decision/row_type.h
@@ -1,4 +1,4 @@
-/* The rows that the decisions keep in the platform's table service. */
+/* The rows that daemons share through the platform's table service. */
 #ifndef RHUBARBTRAIL_DECISION_ROW_TYPE_H
 #define RHUBARBTRAIL_DECISION_ROW_TYPE_H
 
@@ -13,7 +13,7 @@
 
 namespace rhubarbtrail {
 
-/* A daemon process: the same daemon restarted is another incarnation. */
+/* A daemon process. When a daemon restarts, its new process is another incarnation. */
 struct Incarnation
 {
   DaemonId daemon;
@@ -23,77 +23,82 @@
   bool operator==(const Incarnation&) const = default;
 };
 
-/* The lease of a cell: who schedules it, and under which fencing number. */
+/* The lease of a cell, whose holder decides on the cell's replicas. Each renewal changes the
+ * version of the row, which shows other daemons that the holder is alive. */
 struct CellLeaseRow
 {
-  Incarnation holder; ///< An empty daemon id means that the lease was handed back.
-  Fence fence;
-  std::uint64_t renewals = 0;
-  ChangeId change;
+  Incarnation holder; ///< Its daemon id is empty after the holder has released the lease.
+  Fence fence;        ///< Fencing token of the lease term. Each acquisition raises it by one.
+  std::uint64_t renewals = 0; ///< Writes since the acquisition. A release counts as one, too.
+  ChangeId change;            ///< Transaction that wrote the row.
 };
 
 enum class PlacementState : std::uint8_t
 {
-  kLoad,
-  kLoaded,
-  kUnload,
+  kLoad,   ///< A load order was decided on and may have been sent.
+  kLoaded, ///< Loaded, and possibly being drained.
+  kUnload, ///< An unload order was decided on and may have been sent.
 };
 
-/* One replica of a placement, or an order about it that may still take effect. */
+/* One replica, together with the last order to load or unload it. */
 struct PlacementEntry
 {
   EndpointId runner;
   ModelId model;
-  std::string version;
+  std::string version; ///< Version of the model.
   PlacementState state = PlacementState::kLoad;
   OrderId order;
-  Incarnation issuer; ///< Who may still have the order in flight.
+  Incarnation issuer; ///< Daemon process that may still have the order in flight.
 
   bool operator==(const PlacementEntry&) const = default;
 };
 
-/* The written placement of a cell: every replica that was decided. */
+/* The replicas of a cell, as its holder last recorded them. A new holder starts from this row. */
 struct PlacementRow
 {
-  Fence fence;
+  Fence fence; ///< Fencing token of the holder that wrote the row.
   std::vector<PlacementEntry> entries;
-  ChangeId change;
+  ChangeId change; ///< Transaction that wrote the row.
 };
 
 enum class ClaimState : std::uint8_t
 {
-  kClaimed,
-  kDone,
-  kUnknown,
-  kReleased, ///< Given back unused; may be claimed again.
+  kClaimed,  ///< The request may be running.
+  kDone,     ///< The request has run, and the row has its answer.
+  kUnknown,  ///< The request may have run, but its answer is lost.
+  kReleased, ///< The request has not run. Another request may claim the key.
 };
 
-/* The right to run one non-idempotent request, taken before any byte is sent. */
+/* The claim of an idempotency key. An at-most-once request must own it before any byte of the
+ * request is sent to an endpoint. */
 struct ClaimRow
 {
   ClaimState state = ClaimState::kClaimed;
-  RequestId request;
-  Incarnation owner;
-  FingerprintId fingerprint;
-  std::uint16_t httpStatus = 0;
-  std::string contentType;
-  std::string answer; ///< The stored answer of a completed request.
+  RequestId request;            ///< Request that has claimed the key.
+  Incarnation owner;            ///< Daemon process that serves this request.
+  FingerprintId fingerprint;    ///< Shows whether a later request with the key is the same request.
+  std::uint16_t httpStatus = 0; ///< Status of the stored answer.
+  std::string contentType;      ///< Content type of the stored answer.
+  std::string answer;           ///< Stored answer, in state kDone.
 };
 
-/* The newest accepted configuration; the history keeps one row for each version. */
+/* An accepted configuration. The head row has the newest version, and a history row is kept for
+ * each version. */
 struct ConfigurationRow
 {
   ConfigVersion version;
-  std::string document;
+  std::string document; ///< The YAML document of the operators.
   std::string author;
   std::string comment;
   std::int64_t acceptedAtUnixMs = 0;
-  ChangeId change; ///< Tells a proposal's own row from an equal one.
+  /* Transaction that wrote the row. After a lost answer, it shows whether this write or an equal
+   * one of another operator took effect. */
+  ChangeId change;
 };
 
 using RowValue = std::variant<CellLeaseRow, PlacementRow, ClaimRow, ConfigurationRow>;
 
-/* A row as read: version 0 and no value when absent. */
+/* A row as read from the table. An absent row has version 0 and no value. */
 struct Row
 {
   RowKey key;
@@ -101,14 +106,14 @@
   std::optional<RowValue> value;
 };
 
-/* Demands that a row still has this version. */
+/* Requires that a row has this version when the transaction is applied. */
 struct RowCondition
 {
   RowKey key;
   RowVersion version;
 };
 
-/* Writes a row, or deletes it when there is no value. */
+/* Writes a row, or deletes it if there is no value. */
 struct RowWrite
 {
   RowKey key;
