--- a/src/decision/context_type.h
+++ b/src/decision/context_type.h
@@ -1,4 +1,4 @@
-/* What every part of the decisions is handed with an event. */
+/* The context in which a Node applies an event. */
 #ifndef RHUBARBTRAIL_DECISION_CONTEXT_TYPE_H
 #define RHUBARBTRAIL_DECISION_CONTEXT_TYPE_H
 
@@ -12,7 +12,7 @@
 
 class View;
 
-/* The time, the options and the actions collected while one event is applied. */
+/* The time and the options that apply to one event, and the actions that it leads to. */
 class Context
 {
 public:
@@ -36,11 +36,11 @@
   void Emit(Action aAction) { mActions.push_back(std::move(aAction)); }
   std::vector<Action> TakeActions() { return std::move(mActions); }
 
-  /* Asks to be woken no later than aTime. */
+  /* Requests a Wake event at aTime, unless an earlier one is requested. A past time means now. */
   void WakeBy(TimePoint aTime) { mWake = std::min(mWake, std::max(aTime, mNow)); }
   TimePoint wake() const { return mWake; }
 
-  /* Returns a name that no other incarnation and no earlier call has returned. */
+  /* Returns an id that no other call returns, in this or any other daemon process. */
   std::string NewUniqueId()
   {
     return mOptions.self.daemon.str() + "." + mOptions.self.id.str() + "." +
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -1,17 +1,18 @@
-/* The decisions of one daemon: events in, actions out, with the time given.
+/* The interface of the decision library. A Node makes all decisions of one daemon as a
+ * deterministic state machine. It is given events with their times and returns actions.
  *
  * A Node has no threads, sockets, clocks or global state. For the same options and the same
- * sequence of events it returns the same actions. Any number of nodes can live side by side in
- * one process, each with its own time. The driver carries actions out and reports what came of
- * them as events; it may delay, drop, double or reorder messages, transactions, orders and
- * answers as a network would.
+ * sequence of events and times it returns the same actions. One process can have any number of
+ * nodes, each with its own time. The driver, which is the rest of the daemon or a test, carries the
+ * actions out and reports their results as events. Messages, transactions, orders and answers may
+ * be delayed, lost, duplicated or reordered, as in a network.
  *
- * Duties of a driver:
- * - Apply() is called by one thread at a time, with a time that never goes back.
- * - Every StartAttempt is followed by one AttemptEnded, every TableTransaction by one
- *   TransactionResult, every TableRead by one ReadResult and every SendOrder by at least one
- *   OrderResult. An outcome that cannot be known is reported as such, never guessed.
- * - WakeAt is answered by a Wake event at that time or later.
+ * Requirements for the driver:
+ * - Apply() is called by one thread at a time, with times that never decrease.
+ * - One AttemptEnded follows each StartAttempt, one TransactionResult each TableTransaction, one
+ *   ReadResult each TableRead, and at least one OrderResult each SendOrder. An
+ *   unknown result is reported as such and never guessed.
+ * - A Wake event follows at the time of the last WakeAt or later.
  */
 #ifndef RHUBARBTRAIL_DECISION_DECISION_H
 #define RHUBARBTRAIL_DECISION_DECISION_H
@@ -32,13 +33,13 @@
   Incarnation self;
   ZoneId zone;
   DecisionSettings settings;
-  MechanismSet disabled; ///< Mechanisms switched off, for tests that show what each is for.
+  MechanismSet disabled; ///< Mechanisms that a test disables. Empty in a daemon.
 };
 
-/* One line of a state dump: a dotted path and its value. */
+/* One value of a state dump. */
 struct DumpEntry
 {
-  std::string path;
+  std::string path; ///< Names separated by dots, such as cells.s.holder.
   std::string value;
 };
 
@@ -52,10 +53,10 @@
   Node(Node&&) noexcept;
   Node& operator=(Node&&) noexcept;
 
-  /* Takes one event and returns what is to be done, in order. */
+  /* Applies an event and returns the actions to carry out, in order. */
   std::vector<Action> Apply(TimePoint aNow, const Event& aEvent);
 
-  /* Describes the whole state for operators. */
+  /* Returns the state that operators can inspect. */
   std::vector<DumpEntry> Dump() const;
 
 private:
--- a/src/decision/event_type.h
+++ b/src/decision/event_type.h
@@ -1,4 +1,4 @@
-/* Everything that a daemon's decisions are told. */
+/* The events that a driver reports to a Node. */
 #ifndef RHUBARBTRAIL_DECISION_EVENT_TYPE_H
 #define RHUBARBTRAIL_DECISION_EVENT_TYPE_H
 
@@ -14,7 +14,7 @@
 
 namespace rhubarbtrail {
 
-/* A caller's request that passed authentication. */
+/* A request of an authenticated caller. */
 struct RequestArrived
 {
   RequestId request;
@@ -22,14 +22,15 @@
   ServiceId service;
   Artifact artifact; ///< Empty for a plain service.
   ClassId requestClass;
-  Duration timeLeft{}; ///< Until the caller's own deadline; 0 means the class default.
-  IdempotencyKey key;
-  FingerprintId fingerprint;
+  Duration timeLeft{}; ///< Time to the deadline that the caller set; 0 means the class default.
+  IdempotencyKey key;  ///< Required for an at-most-once request.
+  FingerprintId fingerprint; ///< Hash of the method, path and body. Equal requests share it.
+  /* Hash of the start of the body. Requests with an equal one prefer the same endpoints. */
   std::uint64_t prefixHash = 0;
-  std::uint64_t bytes = 0;
+  std::uint64_t bytes = 0; ///< Size of the body.
 };
 
-/* The caller closed its connection. */
+/* The caller closed its connection, so it gets no answer. */
 struct RequestCancelled
 {
   RequestId request;
@@ -37,107 +38,112 @@
 
 enum class AttemptOutcome : std::uint8_t
 {
-  kCompleted,    ///< The whole answer arrived and was checked.
-  kNotConnected, ///< No byte of the request can have left.
-  kNotRun,       ///< The endpoint refused: model not loaded, role or queue.
-  kLeaving,      ///< The endpoint refused because it is leaving.
-  kCut,          ///< The connection broke after the request was sent.
-  kSilent,       ///< No progress within the limit.
-  kCrashed,      ///< The connection broke and the endpoint's process is gone.
-  kMismatched,   ///< The answer belonged to another request.
-  kRejected,     ///< The endpoint answered with a final error of its own.
-  kCancelled,    ///< The attempt was stopped on our order.
+  kCompleted,    ///< The whole answer arrived, and it belongs to the request.
+  kNotConnected, ///< No byte of the request was sent.
+  kNotRun,       ///< The endpoint refused and did not run it: model not loaded, role or queue.
+  kLeaving,      ///< The endpoint refused and did not run it, because it is leaving.
+  kCut,          ///< The answer is incomplete, or a server error that allows a retry.
+  kSilent,       ///< No byte arrived within the limit that StartAttempt sets.
+  kCrashed,      ///< The connection broke, and the host refuses new ones: the process has ended.
+  kMismatched,   ///< The answer belongs to another request.
+  kRejected,     ///< The endpoint answered with an error, after which a retry is useless.
+  kCancelled,    ///< The attempt was stopped by this daemon.
 };
 
-/* An attempt at an endpoint ended. */
+/* An attempt has ended. An attempt sends a request to one endpoint. */
 struct AttemptEnded
 {
   RequestId request;
   AttemptNumber attempt;
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  std::uint32_t delivered = 0;  ///< Stream events passed on to the caller in all.
-  std::uint16_t httpStatus = 0; ///< With kCompleted, for the claim.
+  std::uint32_t delivered = 0; ///< Stream events delivered to the caller by all attempts so far.
+  /* The answer, for the claim of an at-most-once request. Only set with kCompleted. */
+  std::uint16_t httpStatus = 0;
   std::string contentType;
-  std::string answer; ///< With kCompleted of an at-most-once request, for the claim.
+  std::string answer;
 };
 
 enum class TransactionOutcome : std::uint8_t
 {
   kCommitted,
   kConflict,
-  kUnknown, ///< No answer: it may take effect, now or later.
+  kUnknown, ///< No answer arrived. The transaction may take effect, even later.
 };
 
-/* The outcome of a transaction; conflicting rows are given as they are now. */
+/* The outcome of a transaction. */
 struct TransactionResult
 {
   ChangeId change;
   TransactionOutcome outcome = TransactionOutcome::kCommitted;
-  std::vector<Row> rows; ///< Written rows with new versions, or the conflicting ones.
+  /* With kCommitted, the written rows with their new versions. With kConflict, the rows whose
+   * conditions failed, as they are now. */
+  std::vector<Row> rows;
 };
 
-/* The rows that were asked for, absent ones included. */
+/* The result of a TableRead. */
 struct ReadResult
 {
-  ChangeId read;
-  bool ok = false;
-  std::vector<Row> rows;
+  ChangeId read;         ///< The id of the TableRead.
+  bool ok = false;       ///< False if the table gave no valid answer.
+  std::vector<Row> rows; ///< One row for each key, in the same order. Absent rows are included.
 };
 
+/* A model in the inventory of a runner. */
 struct LoadedModel
 {
   ModelId model;
   std::string version;
   bool ready = false; ///< False while the load is running.
   std::vector<AdapterId> adapters;
-  std::uint32_t running = 0;
+  std::uint32_t running = 0; ///< Requests that run on this model.
 };
 
-/* What a runner says of itself. */
+/* The state of a runner, as reported by the runner itself. */
 struct Inventory
 {
-  std::string bootId;
-  MemoryMb memory;
+  std::string bootId; ///< Changes with each start of the runner's process.
+  MemoryMb memory;    ///< Total memory of the runner, used or free.
   std::vector<LoadedModel> models;
-  std::uint32_t running = 0;
-  std::uint32_t queued = 0;
-  std::vector<ModelId> checkpoints; ///< Kept by the runner's host, so that they load sooner.
+  std::uint32_t running = 0;        ///< Requests that run on the runner.
+  std::uint32_t queued = 0;         ///< Requests that wait on the runner.
+  std::vector<ModelId> checkpoints; ///< Models cached on the host of the runner. They load faster.
 };
 
 enum class OrderOutcome : std::uint8_t
 {
-  kAccepted, ///< Taken on; it is still being carried out.
+  kAccepted, ///< The runner carries the order out. Another result follows.
   kDone,
-  kFenced, ///< Refused: the fencing number is old.
-  kNoMemory,
-  kFailed,
-  kUnknown,      ///< No answer: it may take effect, now or later.
-  kNotConnected, ///< No byte of the order can have left.
-  kRefused,      ///< The host refuses connections: the runner's process has gone.
+  kFenced,       ///< The runner rejected the order, because its fencing token is outdated.
+  kNoMemory,     ///< The runner has not enough memory for the order.
+  kFailed,       ///< The runner could not carry the order out.
+  kUnknown,      ///< No valid answer arrived. The order may take effect, even later.
+  kNotConnected, ///< No byte of the order was sent.
+  kRefused,      ///< The host refuses connections, because the runner's process has ended.
 };
 
-/* The outcome of an order, with the inventory that the runner sent along. */
+/* The outcome of an order, and the inventory if the runner's answer contained one. */
 struct OrderResult
 {
   CellId cell;
   EndpointId runner;
   OrderId order;
   OrderOutcome outcome = OrderOutcome::kDone;
-  Inventory inventory; ///< Empty boot id when none was sent.
+  Inventory inventory; ///< Its boot id is empty if the answer contained none.
 };
 
+/* A message from another daemon, or from this daemon to itself. */
 struct MessageReceived
 {
   Incarnation from;
-  ConfigVersion senderVersion;
+  ConfigVersion senderVersion; ///< Configuration version of the sender when it sent the message.
   Message message;
 };
 
 enum class HostState : std::uint8_t
 {
   kLive,
-  kLeaving, ///< For good: it ends soon, or has ended.
-  kDrained, ///< Operators want no new work there; they may take that back.
+  kLeaving, ///< The process ends soon or has ended. It never becomes live again.
+  kDrained, ///< The configuration excludes the endpoint from new work, until operators change that.
 };
 
 enum class HostKind : std::uint8_t
@@ -146,42 +152,43 @@
   kEndpoint,
 };
 
-/* One entry of the platform's host list. */
+/* A process in the platform's host list. */
 struct HostEntry
 {
   HostKind kind = HostKind::kEndpoint;
-  std::string id;     ///< Endpoint or daemon id.
-  std::string bootId; ///< Changes with every start of the process.
-  ServiceId service;  ///< Of an endpoint.
+  std::string id;     ///< Id of the endpoint or daemon.
+  std::string bootId; ///< Changes with each start of the process.
+  ServiceId service;  ///< Service of an endpoint. Empty for a daemon.
   ZoneId zone;
   std::string address; ///< host:port
   HostState state = HostState::kLive;
 };
 
-/* The platform's list of hosts, which lags. */
+/* The platform's host list. Starts and ends of processes appear in it with a delay. */
 struct HostListReceived
 {
   std::vector<HostEntry> hosts;
 };
 
-/* A configuration row that was read or received, together with its parsed form. */
+/* A configuration row that was read from the table or received from another daemon, and its parsed
+ * document. */
 struct ConfigurationLoaded
 {
   ConfigurationRow row;
   std::shared_ptr<const Configuration> configuration;
 };
 
-/* An operator took a request out of quarantine. */
+/* An operator has released a request from quarantine. */
 struct QuarantineReleased
 {
   FingerprintId fingerprint;
 };
 
-/* SIGTERM: hand over, finish, go. */
+/* The process was asked to stop, by a signal or by an operator. */
 struct ShutdownRequested
 {};
 
-/* The time asked for with WakeAt has come. */
+/* The time of the last WakeAt has been reached. */
 struct Wake
 {};
 
--- a/src/decision/node.cpp
+++ b/src/decision/node.cpp
@@ -1,4 +1,4 @@
-/* One daemon's decisions: hands each event to the parts that it concerns. */
+/* Passes each event to the view, the router and the scheduler, as far as it concerns them. */
 #include "decision/decision.h"
 
 #include "decision/context_type.h"
@@ -135,7 +135,8 @@
   if (isWake || isOverdue) {
     mImpl->wake = TimePoint::max();
   }
-  // What has become due comes before the event: it may have been held up by a pause.
+  // After a pause of the process, an event may be applied before a Wake that is overdue. Timers are
+  // handled first.
   if (isOverdue && !isWake) {
     mImpl->Handle(context, Wake{});
   }
