--- a/src/decision/configuration.cpp
+++ b/src/decision/configuration.cpp
@@ -1,4 +1,4 @@
-/* What follows from a configuration. */
+/* Values that are computed from a configuration. */
 #include "decision/configuration_func.h"
 
 namespace rhubarbtrail {
--- a/src/decision/configuration_func.h
+++ b/src/decision/configuration_func.h
@@ -1,4 +1,4 @@
-/* What follows from a configuration. */
+/* Values that are computed from a configuration. */
 #ifndef RHUBARBTRAIL_DECISION_CONFIGURATION_FUNC_H
 #define RHUBARBTRAIL_DECISION_CONFIGURATION_FUNC_H
 
@@ -6,7 +6,7 @@
 
 namespace rhubarbtrail {
 
-/* Returns the memory that a replica of a model reserves: its weights and all its adapters. */
+/* Returns the memory that is reserved for a replica of the model, including all its adapters. */
 MemoryMb ReservedMemory(const ModelSpec& aModel);
 
 } // namespace rhubarbtrail
--- a/src/decision/configuration_type.h
+++ b/src/decision/configuration_type.h
@@ -1,4 +1,4 @@
-/* The accepted configuration as plain data: what the decisions need of it. */
+/* The parsed configuration of the operators. */
 #ifndef RHUBARBTRAIL_DECISION_CONFIGURATION_TYPE_H
 #define RHUBARBTRAIL_DECISION_CONFIGURATION_TYPE_H
 
@@ -16,11 +16,11 @@
 
 enum class ServiceKind : std::uint8_t
 {
-  kModels, ///< Runners that load models on order.
-  kPlain,  ///< Endpoints that answer HTTP calls and take no orders.
+  kModels, ///< Its endpoints are runners, which load and unload models when ordered to.
+  kPlain,  ///< Its endpoints answer HTTP calls and take no orders.
 };
 
-/* Whether the runners of a service refuse an order with an old fencing number. */
+/* Whether the runners of a service reject orders with an outdated fencing token. */
 enum class OrderCheck : std::uint8_t
 {
   kChecked,
@@ -30,45 +30,48 @@
 /* Whether a request may be sent to an endpoint more than once. */
 enum class Repeatability : std::uint8_t
 {
-  kIdempotent,
-  kAtMostOnce,
+  kIdempotent, ///< May be sent again, even if an earlier attempt may have run.
+  kAtMostOnce, ///< Must not be sent again after an attempt that may have run.
 };
 
-/* Unloads a replica that was idle for a fixed time. */
+/* Unloads a replica after a fixed idle time. */
 struct FixedKeepAlive
 {
   Duration idleLimit = 60s;
 };
 
-/* Unloads a replica after the percentile of the idle times seen for its model. */
+/* Unloads a replica after an idle time that is a percentile of its model's recorded idle times. If
+ * the percentile exceeds the maximum, only the minimum applies, because a replica cannot be kept
+ * long enough to be reused. */
 struct HistogramKeepAlive
 {
-  std::uint32_t percentile = 90;
-  Duration minimum = 5s;
-  Duration maximum = 600s;
+  std::uint32_t percentile = 90; ///< In percent.
+  Duration minimum = 5s;         ///< Idle time for which a replica is always kept.
+  Duration maximum = 600s;       ///< Limit for the percentile.
 };
 
-/* Unloads a replica when holding it costs more than the expected cold start:
- * reuse probability x load time x weight against memory share x idle time. */
+/* Unloads a replica when its expected cost exceeds the expected saving. The saving is the
+ * probability of reuse x the load time x coldStartWeight. The cost is the fraction of the runner's
+ * memory that the replica takes x the idle time until its reuse. */
 struct CostAwareKeepAlive
 {
-  double coldStartWeight = 1.0;
+  double coldStartWeight = 1.0; ///< Higher values keep replicas longer.
 };
 
 using KeepAlivePolicy = std::variant<FixedKeepAlive, HistogramKeepAlive, CostAwareKeepAlive>;
 
-/* Limits of a service's weight store. */
+/* Limits for loads from the weight store by the runners of a service. */
 struct StoreLimits
 {
-  std::uint32_t concurrentLoads = 4;
-  double loadsPerSecond = 4.0;
-  std::uint32_t adaptersInTransit = 32;
+  std::uint32_t concurrentLoads = 4; ///< Model loads at a time. Also the burst of the rate limit.
+  double loadsPerSecond = 4.0;       ///< Rate limit for model loads.
+  std::uint32_t adaptersInTransit = 32; ///< Adapter loads at a time.
 };
 
 /* Assigns a request class to the calls of a plain service. */
 struct RouteSpec
 {
-  std::string method;     ///< HTTP method in capitals; empty means any.
+  std::string method;     ///< HTTP method in upper case; empty matches any.
   std::string pathPrefix; ///< Starts with a slash.
   ClassId requestClass;
 };
@@ -79,11 +82,13 @@
   ServiceKind kind = ServiceKind::kModels;
   OrderCheck orderCheck = OrderCheck::kChecked;
   std::uint32_t endpointConcurrency = 16; ///< Requests that one endpoint runs at a time.
+  /* Nominal memory of a runner, for configuration checks and preload decisions. Replicas are placed
+   * by the memory that a runner reports. */
   MemoryMb runnerMemory{ 80'000 };
-  MemoryMb kvCacheReserve{ 16'000 }; ///< Memory of each runner that weights never use.
+  MemoryMb kvCacheReserve{ 16'000 }; ///< Memory of each runner that is kept free of weights.
   StoreLimits store;
   KeepAlivePolicy keepAlive;
-  std::vector<RouteSpec> routes; ///< Of a plain service; the first match counts.
+  std::vector<RouteSpec> routes; ///< Routes of a plain service. The first that matches applies.
   std::set<EndpointId> drained;  ///< Endpoints that get no new work.
 };
 
@@ -98,8 +103,8 @@
   ModelId id;
   ServiceId service;
   std::string version = "1";
-  MemoryMb memory;
-  Duration expectedLoad = 5s;
+  MemoryMb memory;            ///< Memory of the weights without adapters.
+  Duration expectedLoad = 5s; ///< Expected duration of a load.
   std::uint32_t maxReplicas = 1;
   std::map<AdapterId, AdapterSpec> adapters;
 };
@@ -107,8 +112,8 @@
 struct ClassSpec
 {
   ClassId id;
-  std::uint32_t priority = 1; ///< 0 goes first.
-  Duration deadline = 30s;
+  std::uint32_t priority = 1; ///< 0 is the highest priority.
+  Duration deadline = 30s;    ///< Deadline of requests that set none.
   Repeatability repeatability = Repeatability::kIdempotent;
 };
 
@@ -116,11 +121,11 @@
 {
   CustomerId id;
   std::vector<std::string> keyHashes; ///< SHA-256 of each API key, in lower-case hex.
-  std::set<ModelId> models;           ///< Allowed models; empty with allModels means all.
+  std::set<ModelId> models;           ///< Allowed models, unless allModels is set.
   std::set<ServiceId> services;       ///< Allowed plain services.
   bool allModels = false;
-  std::uint32_t weight = 1;
-  std::uint32_t queueLimit = 256;
+  std::uint32_t weight = 1;       ///< Share in fair queueing, relative to other customers.
+  std::uint32_t queueLimit = 256; ///< Unanswered requests that one daemon accepts.
 };
 
 struct Configuration
--- a/src/decision/rendezvous.cpp
+++ b/src/decision/rendezvous.cpp
@@ -1,4 +1,4 @@
-/* Rendezvous hashing on xxHash. */
+/* Rendezvous hashing with XXH3, seeded by the hash of the key. */
 #include "decision/rendezvous_func.h"
 
 #include <xxhash.h>
