--- a/src/codec/json_codec.cpp
+++ b/src/codec/json_codec.cpp
@@ -1,4 +1,4 @@
-/* JSON forms of rows and messages. */
+/* Encodes and decodes rows, messages and inventories with the JSON library. */
 #include "codec/json_codec.h"
 
 #include <nlohmann/json.hpp>
@@ -21,6 +21,7 @@
   aId = Id<Tag>{ aJson.get<std::string>() };
 }
 
+/* Converts a type with a single member `value` to and from that value. */
 #define RHUBARBTRAIL_WRAPPED_VALUE(Type)                                                           \
   void to_json(json& aJson, const Type& aValue)                                                    \
   {                                                                                                \
@@ -40,7 +41,7 @@
 
 namespace nlohmann {
 
-/* Durations travel as microseconds. */
+/* A duration is encoded as a number of microseconds. */
 template<>
 struct adl_serializer<rhubarbtrail::Duration>
 {
@@ -55,6 +56,8 @@
 
 namespace rhubarbtrail {
 
+/* Converts a type to and from a JSON object whose keys are the names of its members. A renamed
+ * member would not be read by daemons of other releases, nor from rows already stored. */
 #define RHUBARBTRAIL_FIELDS(...) NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(__VA_ARGS__)
 
 RHUBARBTRAIL_FIELDS(Incarnation, daemon, id)
@@ -96,7 +99,7 @@
 
 namespace {
 
-/* The names under which the alternatives of a variant are stored, in their order. */
+/* Encoded names of the alternatives of RowValue and Message, in the order of the alternatives. */
 constexpr std::array<const char*, std::variant_size_v<RowValue>> kRowNames{ "cell_lease",
                                                                             "placement",
                                                                             "claim",
@@ -142,7 +145,7 @@
       return value;
     }
   }
-  throw std::invalid_argument("unknown kind '" + name + "'");
+  throw std::invalid_argument("unknown row or message kind '" + name + "'");
 }
 
 } // namespace
--- a/src/codec/json_codec.h
+++ b/src/codec/json_codec.h
@@ -1,5 +1,6 @@
-/* JSON forms of rows and messages. Unknown members are ignored and missing ones take their
- * defaults, so that daemons of neighbouring releases understand each other. */
+/* Encodes and decodes rows, messages and inventories. All are JSON objects, and messages are packed
+ * as MessagePack. Decoding ignores unknown members and sets missing ones to their defaults, so that
+ * daemons of consecutive releases can exchange them. */
 #ifndef RHUBARBTRAIL_CODEC_JSON_CODEC_H
 #define RHUBARBTRAIL_CODEC_JSON_CODEC_H
 
@@ -15,27 +16,28 @@
 
 namespace rhubarbtrail {
 
-/* A message with its sender, as it travels between daemons. */
+/* A message between daemons, with its sender. */
 struct Envelope
 {
   Incarnation from;
-  ConfigVersion senderVersion;
+  ConfigVersion senderVersion; ///< Configuration version of the sender.
   Message message;
 };
 
-/* Returns the text that the table service stores for a row value. */
+/* Encodes a row value as the JSON text that the table service stores. */
 std::string EncodeRow(const RowValue& aValue);
 
-/* Reads a stored row value; the error says what is wrong with it. */
+/* Decodes a row value from JSON text. Returns a description of the error if the text is invalid. */
 tl::expected<RowValue, std::string> DecodeRow(std::string_view aText);
 
-/* Returns an envelope as MessagePack. */
+/* Encodes an envelope as MessagePack. */
 std::vector<std::uint8_t> EncodeEnvelope(const Envelope& aEnvelope);
 
-/* Reads an envelope; the error says what is wrong with it. */
+/* Decodes an envelope from MessagePack. Returns a description of the error if it is invalid. */
 tl::expected<Envelope, std::string> DecodeEnvelope(std::string_view aBytes);
 
-/* Reads a runner's inventory from its JSON form. */
+/* Decodes the inventory of a runner from JSON text. Returns a description of the error if the text
+ * is invalid. */
 tl::expected<Inventory, std::string> DecodeInventory(std::string_view aText);
 
 } // namespace rhubarbtrail
