--- a/src/codec/json_codec.cpp
+++ b/src/codec/json_codec.cpp
@@ -100,11 +100,11 @@
 namespace {
 
 /* Encoded names of the alternatives of RowValue and Message, in the order of the alternatives. */
-constexpr std::array<const char*, std::variant_size_v<RowValue>> kRowNames{ "cell_lease",
-                                                                            "placement",
-                                                                            "claim",
-                                                                            "configuration" };
-constexpr std::array<const char*, std::variant_size_v<Message>> kMessageNames{
+constexpr std::array<const char*, std::variant_size_v<RowValue>> kRowKindNames{ "cell_lease",
+                                                                                "placement",
+                                                                                "claim",
+                                                                                "configuration" };
+constexpr std::array<const char*, std::variant_size_v<Message>> kMessageKindNames{
   "demand",           "demand_reply",      "drain",
   "drained",          "withdraw_order",    "order_withdrawn",
   "heartbeat",        "configuration",     "configuration_request",
@@ -114,11 +114,11 @@
 };
 
 template<typename Variant, std::size_t kIndex = 0>
-bool ReadAlternative(const json& aJson, std::size_t aIndex, Variant& aOut)
+bool DecodeAlternative(const json& aJson, std::size_t aIndex, Variant& aOut)
 {
   if constexpr (kIndex < std::variant_size_v<Variant>) {
     if (aIndex != kIndex) {
-      return ReadAlternative<Variant, kIndex + 1>(aJson, aIndex, aOut);
+      return DecodeAlternative<Variant, kIndex + 1>(aJson, aIndex, aOut);
     }
     aOut = aJson.get<std::variant_alternative_t<kIndex, Variant>>();
     return true;
@@ -128,20 +128,20 @@
 }
 
 template<typename Variant, std::size_t kCount>
-json WriteTagged(const Variant& aValue, const std::array<const char*, kCount>& aNames)
+json EncodeVariant(const Variant& aValue, const std::array<const char*, kCount>& aKindNames)
 {
   json body;
-  std::visit([&](const auto& aKind) { body = aKind; }, aValue);
-  return json{ { "kind", aNames[aValue.index()] }, { "value", std::move(body) } };
+  std::visit([&](const auto& aAlternative) { body = aAlternative; }, aValue);
+  return json{ { "kind", aKindNames[aValue.index()] }, { "value", std::move(body) } };
 }
 
 template<typename Variant, std::size_t kCount>
-Variant ReadTagged(const json& aJson, const std::array<const char*, kCount>& aNames)
+Variant DecodeVariant(const json& aJson, const std::array<const char*, kCount>& aKindNames)
 {
   const auto name = aJson.at("kind").get<std::string>();
   Variant value;
   for (std::size_t index = 0; index < kCount; ++index) {
-    if (name == aNames[index] && ReadAlternative(aJson.at("value"), index, value)) {
+    if (name == aKindNames[index] && DecodeAlternative(aJson.at("value"), index, value)) {
       return value;
     }
   }
@@ -152,13 +152,13 @@
 
 std::string EncodeRow(const RowValue& aValue)
 {
-  return WriteTagged(aValue, kRowNames).dump();
+  return EncodeVariant(aValue, kRowKindNames).dump();
 }
 
 tl::expected<RowValue, std::string> DecodeRow(std::string_view aText)
 {
   try {
-    return ReadTagged<RowValue>(json::parse(aText), kRowNames);
+    return DecodeVariant<RowValue>(json::parse(aText), kRowKindNames);
   } catch (const std::exception& error) {
     return tl::make_unexpected(std::string{ error.what() });
   }
@@ -166,7 +166,7 @@
 
 std::vector<std::uint8_t> EncodeEnvelope(const Envelope& aEnvelope)
 {
-  json envelope = WriteTagged(aEnvelope.message, kMessageNames);
+  json envelope = EncodeVariant(aEnvelope.message, kMessageKindNames);
   envelope["from"] = aEnvelope.from;
   envelope["version"] = aEnvelope.senderVersion;
   return json::to_msgpack(envelope);
@@ -178,7 +178,7 @@
     const json envelope = json::from_msgpack(aBytes);
     return Envelope{ .from = envelope.at("from").get<Incarnation>(),
                      .senderVersion = envelope.at("version").get<ConfigVersion>(),
-                     .message = ReadTagged<Message>(envelope, kMessageNames) };
+                     .message = DecodeVariant<Message>(envelope, kMessageKindNames) };
   } catch (const std::exception& error) {
     return tl::make_unexpected(std::string{ error.what() });
   }
--- a/src/decision/context_type.h
+++ b/src/decision/context_type.h
@@ -16,10 +16,10 @@
 class Context
 {
 public:
-  Context(TimePoint aNow, const NodeOptions& aOptions, std::uint64_t& aNextNumber)
+  Context(TimePoint aNow, const NodeOptions& aOptions, std::uint64_t& aLastIdNumber)
     : mNow(aNow)
     , mOptions(aOptions)
-    , mNextNumber(aNextNumber)
+    , mLastIdNumber(aLastIdNumber)
   {
   }
 
@@ -37,22 +37,22 @@
   std::vector<Action> TakeActions() { return std::move(mActions); }
 
   /* Requests a Wake event at aTime, unless an earlier one is requested. A past time means now. */
-  void WakeBy(TimePoint aTime) { mWake = std::min(mWake, std::max(aTime, mNow)); }
-  TimePoint wake() const { return mWake; }
+  void WakeBy(TimePoint aTime) { mWakeTime = std::min(mWakeTime, std::max(aTime, mNow)); }
+  TimePoint wakeTime() const { return mWakeTime; }
 
   /* Returns an id that no other call returns, in this or any other daemon process. */
   std::string NewUniqueId()
   {
     return mOptions.self.daemon.str() + "." + mOptions.self.id.str() + "." +
-           std::to_string(++mNextNumber);
+           std::to_string(++mLastIdNumber);
   }
 
 private:
   TimePoint mNow;
   const NodeOptions& mOptions;
-  std::uint64_t& mNextNumber;
+  std::uint64_t& mLastIdNumber;
   std::vector<Action> mActions;
-  TimePoint mWake = TimePoint::max();
+  TimePoint mWakeTime = TimePoint::max();
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/node.cpp
+++ b/src/decision/node.cpp
@@ -73,14 +73,14 @@
   void FinishShutdown(Context& aContext);
 
   NodeOptions options;
-  std::uint64_t nextNumber = 0;
+  std::uint64_t lastIdNumber = 0;
   View view;
   Router router;
   Scheduler scheduler;
   TimePoint now{};
-  TimePoint wake = TimePoint::max();
+  TimePoint wakeTime = TimePoint::max();
   bool isStopping = false;
-  bool isComplete = false;
+  bool isShutdownComplete = false;
 };
 
 void Node::Impl::Handle(Context& aContext, const MessageReceived& aEvent)
@@ -109,9 +109,9 @@
 void Node::Impl::FinishShutdown(Context& aContext)
 {
   scheduler.ReleaseLeases(aContext, view);
-  const bool mayEnd = router.IsIdle() || !aContext.IsEnabled(Mechanism::kShutdownDrain);
-  if (!isComplete && mayEnd && scheduler.IsIdle()) {
-    isComplete = true;
+  const bool mayStopRouter = router.IsIdle() || !aContext.IsEnabled(Mechanism::kShutdownDrain);
+  if (!isShutdownComplete && mayStopRouter && scheduler.IsIdle()) {
+    isShutdownComplete = true;
     aContext.Emit(ShutdownComplete{});
   }
   aContext.WakeBy(aContext.now() + options.settings.tableRetryDelay);
@@ -129,24 +129,24 @@
 std::vector<Action> Node::Apply(TimePoint aNow, const Event& aEvent)
 {
   mImpl->now = std::max(mImpl->now, aNow);
-  Context context(mImpl->now, mImpl->options, mImpl->nextNumber);
+  Context context(mImpl->now, mImpl->options, mImpl->lastIdNumber);
   const bool isWake = std::holds_alternative<Wake>(aEvent);
-  const bool isOverdue = mImpl->wake <= mImpl->now;
+  const bool isOverdue = mImpl->wakeTime <= mImpl->now;
   if (isWake || isOverdue) {
-    mImpl->wake = TimePoint::max();
+    mImpl->wakeTime = TimePoint::max();
   }
   // After a pause of the process, an event may be applied before a Wake that is overdue. Timers are
   // handled first.
   if (isOverdue && !isWake) {
     mImpl->Handle(context, Wake{});
   }
-  std::visit([&](const auto& aKind) { mImpl->Handle(context, aKind); }, aEvent);
+  std::visit([&](const auto& aTypedEvent) { mImpl->Handle(context, aTypedEvent); }, aEvent);
   if (mImpl->isStopping) {
     mImpl->FinishShutdown(context);
   }
-  if (context.wake() < mImpl->wake) {
-    mImpl->wake = context.wake();
-    context.Emit(WakeAt{ mImpl->wake });
+  if (context.wakeTime() < mImpl->wakeTime) {
+    mImpl->wakeTime = context.wakeTime();
+    context.Emit(WakeAt{ mImpl->wakeTime });
   }
   std::vector<Action> actions = context.TakeActions();
   mImpl->scheduler.RecordOrders(actions);
