--- a/src/decision/action_type.h
+++ b/src/decision/action_type.h
@@ -59,7 +59,7 @@
 /* Writes several rows atomically, provided that all conditions are met. */
 struct TableTransaction
 {
-  ChangeId change;
+  ChangeId change; ///< Id that the TransactionResult repeats.
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> writes;
 };
@@ -85,7 +85,7 @@
 {
   CellId cell;
   EndpointId runner;
-  std::string address;
+  std::string address; ///< host:port
   OrderId order;
   OrderKind kind = OrderKind::kInventory;
   Fence fence;         ///< Runners that check it reject an order with a lower one than before.
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -10,8 +10,8 @@
  * Requirements for the driver:
  * - Apply() is called by one thread at a time, with times that never decrease.
  * - One AttemptEnded follows each StartAttempt, one TransactionResult each TableTransaction, one
- *   ReadResult each TableRead, and at least one OrderResult each SendOrder. An
- *   unknown result is reported as such and never guessed.
+ *   ReadResult each TableRead, and at least one OrderResult each SendOrder. An unknown result
+ *   is reported as such and never guessed.
  * - A Wake event follows at the time of the last WakeAt or later.
  */
 #ifndef RHUBARBTRAIL_DECISION_DECISION_H
@@ -53,7 +53,8 @@
   Node(Node&&) noexcept;
   Node& operator=(Node&&) noexcept;
 
-  /* Applies an event and returns the actions to carry out, in order. */
+  /* Applies an event and returns the actions to carry out, in order. Timers that are due by aNow
+   * are handled first. */
   std::vector<Action> Apply(TimePoint aNow, const Event& aEvent);
 
   /* Returns the state that operators can inspect. */
--- a/src/decision/decision_settings_type.h
+++ b/src/decision/decision_settings_type.h
@@ -63,10 +63,10 @@
   /* A candidate runner that has not answered yet counts as having a replica, because a former
    * holder may have loaded one there while the table was unreachable. */
   kPossibleReplicas,
-  kMemoryReservation,   ///< Memory is reserved for a replica in any phase, not only when loaded.
-  kDrainBeforeUnload,   ///< A replica is unloaded only when it has no routers and no requests left.
-  kDemandMerging,       ///< Demands load no more replicas of a model than its target number.
-  kClaimBeforeSend,     ///< An at-most-once request is claimed before it is sent.
+  kMemoryReservation, ///< Memory is reserved for a replica in any phase, not only when loaded.
+  kDrainBeforeUnload, ///< A replica is unloaded only when no router uses it and no request is left.
+  kDemandMerging,     ///< Demands load no more replicas of a model than its target number.
+  kClaimBeforeSend,   ///< An at-most-once request is claimed before it is sent.
   kFinalOutcomeUnknown, ///< An at-most-once request that may have run is never sent again.
   kDeadlineRefusal,     ///< A request without an answer is refused when its deadline passes.
   kLeavingNotice,       ///< Daemons notify each other when an endpoint reports that it is leaving.
--- a/src/decision/event_type.h
+++ b/src/decision/event_type.h
@@ -42,7 +42,7 @@
   kNotConnected, ///< No byte of the request was sent.
   kNotRun,       ///< The endpoint refused and did not run it: model not loaded, role or queue.
   kLeaving,      ///< The endpoint refused and did not run it, because it is leaving.
-  kCut,          ///< The answer is incomplete, or a server error that allows a retry.
+  kCut,          ///< The answer is incomplete, or a 5xx status after which a retry is allowed.
   kSilent,       ///< No byte arrived within the limit that StartAttempt sets.
   kCrashed,      ///< The connection broke, and the host refuses new ones: the process has ended.
   kMismatched,   ///< The answer belongs to another request.
@@ -66,8 +66,8 @@
 enum class TransactionOutcome : std::uint8_t
 {
   kCommitted,
-  kConflict,
-  kUnknown, ///< No answer arrived. The transaction may take effect, even later.
+  kConflict, ///< A condition was not met, and nothing was written.
+  kUnknown,  ///< No answer arrived. The transaction may take effect, even later.
 };
 
 /* The outcome of a transaction. */
@@ -104,9 +104,10 @@
   std::string bootId; ///< Changes with each start of the runner's process.
   MemoryMb memory;    ///< Total memory of the runner, used or free.
   std::vector<LoadedModel> models;
-  std::uint32_t running = 0;        ///< Requests that run on the runner.
-  std::uint32_t queued = 0;         ///< Requests that wait on the runner.
-  std::vector<ModelId> checkpoints; ///< Models cached on the host of the runner. They load faster.
+  std::uint32_t running = 0; ///< Requests that run on the runner.
+  std::uint32_t queued = 0;  ///< Requests that wait on the runner.
+  /* Models whose checkpoints are cached on the host of the runner, so that they load faster. */
+  std::vector<ModelId> checkpoints;
 };
 
 enum class OrderOutcome : std::uint8_t
--- a/src/decision/message_type.h
+++ b/src/decision/message_type.h
@@ -1,4 +1,7 @@
-/* The messages between daemons. A message may be lost, delayed, duplicated or reordered. */
+/* The messages between daemons. A message may be lost, delayed, duplicated or reordered.
+ *
+ * Each daemon has a router, which serves callers. The holder is the daemon that holds the lease of
+ * a cell. A suspect is a request whose fingerprint was in flight on an endpoint that crashed. */
 #ifndef RHUBARBTRAIL_DECISION_MESSAGE_TYPE_H
 #define RHUBARBTRAIL_DECISION_MESSAGE_TYPE_H
 
@@ -75,7 +78,7 @@
   CellId cell;
   EndpointId runner;
   ModelId model;
-  Fence fence;
+  Fence fence; ///< Fencing token of the holder, which ignores answers with another one.
 };
 
 /* Answers a DrainMessage, with the same values, when the router has no request in flight on the
@@ -113,8 +116,8 @@
 {
   ConfigVersion version;
   bool reply = false; ///< True in an answer. Answers are not answered.
-  /* When the answered heartbeat was sent, by the clock of its sender. The answer echoes the value.
-   * It is 0 in an unrequested answer. */
+  /* When the answered heartbeat was sent, by the clock of its sender, which counts the age of the
+   * answer from then. The answer echoes the value. It is 0 in an unrequested answer. */
   Duration sentAt{};
 };
 
@@ -137,7 +140,8 @@
   std::string bootId;
 };
 
-/* Names the sender's requests that were in flight on an endpoint when it crashed. */
+/* Names the sender's requests that were in flight on an endpoint when it crashed. Receivers treat
+ * them as suspects, and their own requests in flight on the same endpoint process, too. */
 struct SuspectsMessage
 {
   EndpointId endpoint;
--- a/src/decision/node.cpp
+++ b/src/decision/node.cpp
@@ -70,15 +70,17 @@
   }
   void Handle(Context& aContext, const MessageReceived& aEvent);
 
+  /* Releases the leases, and emits ShutdownComplete once the process may end. Called after each
+   * event while the node is stopping. */
   void FinishShutdown(Context& aContext);
 
   NodeOptions options;
-  std::uint64_t lastIdNumber = 0;
+  std::uint64_t lastIdNumber = 0; ///< Counter for Context::NewUniqueId().
   View view;
   Router router;
   Scheduler scheduler;
-  TimePoint now{};
-  TimePoint wakeTime = TimePoint::max();
+  TimePoint now{};                       ///< Latest time of any event.
+  TimePoint wakeTime = TimePoint::max(); ///< Time of the last WakeAt, until a Wake is handled.
   bool isStopping = false;
   bool isShutdownComplete = false;
 };
@@ -86,6 +88,7 @@
 void Node::Impl::Handle(Context& aContext, const MessageReceived& aEvent)
 {
   const DaemonId& from = aEvent.from.daemon;
+  // The view has no entry for this daemon itself.
   if (from != options.self.daemon) {
     view.OnMessage(aContext, aEvent);
   }
--- a/src/decision/row_type.h
+++ b/src/decision/row_type.h
@@ -23,8 +23,9 @@
   bool operator==(const Incarnation&) const = default;
 };
 
-/* The lease of a cell, whose holder decides on the cell's replicas. Each renewal changes the
- * version of the row, which shows other daemons that the holder is alive. */
+/* The lease of a cell. A cell consists of the runners of one service, and the holder of its lease
+ * decides which of them load which models. Each renewal changes the version of the row, which shows
+ * other daemons that the holder is alive. */
 struct CellLeaseRow
 {
   Incarnation holder; ///< Its daemon id is empty after the holder has released the lease.
@@ -63,9 +64,9 @@
 
 enum class ClaimState : std::uint8_t
 {
-  kClaimed,  ///< The request may be running.
+  kClaimed,  ///< No result of the request has been recorded yet.
   kDone,     ///< The request has run, and the row has its answer.
-  kUnknown,  ///< The request may have run, but its answer is lost.
+  kUnknown,  ///< The request may have run, and its answer is not known.
   kReleased, ///< The request has not run. Another request may claim the key.
 };
 
