--- a/src/decision/context_type.h
+++ b/src/decision/context_type.h
@@ -1,4 +1,4 @@
-/* What every part of the decisions is handed with an event. */
+/* The context in which a Node applies an event. */
 #ifndef RHUBARBTRAIL_DECISION_CONTEXT_TYPE_H
 #define RHUBARBTRAIL_DECISION_CONTEXT_TYPE_H
 
@@ -12,14 +12,14 @@
 
 class View;
 
-/* The time, the options and the actions collected while one event is applied. */
+/* The time and the options that apply to one event, and the actions that it leads to. */
 class Context
 {
 public:
-  Context(TimePoint aNow, const NodeOptions& aOptions, std::uint64_t& aNextNumber)
+  Context(TimePoint aNow, const NodeOptions& aOptions, std::uint64_t& aLastIdNumber)
     : mNow(aNow)
     , mOptions(aOptions)
-    , mNextNumber(aNextNumber)
+    , mLastIdNumber(aLastIdNumber)
   {
   }
 
@@ -36,23 +36,23 @@
   void Emit(Action aAction) { mActions.push_back(std::move(aAction)); }
   std::vector<Action> TakeActions() { return std::move(mActions); }
 
-  /* Asks to be woken no later than aTime. */
-  void WakeBy(TimePoint aTime) { mWake = std::min(mWake, std::max(aTime, mNow)); }
-  TimePoint wake() const { return mWake; }
+  /* Requests a Wake event at aTime, unless an earlier one is requested. A past time means now. */
+  void WakeBy(TimePoint aTime) { mWakeTime = std::min(mWakeTime, std::max(aTime, mNow)); }
+  TimePoint wakeTime() const { return mWakeTime; }
 
-  /* Returns a name that no other incarnation and no earlier call has returned. */
+  /* Returns an id that no other call returns, in this or any other daemon process. */
   std::string NewUniqueId()
   {
     return mOptions.self.daemon.str() + "." + mOptions.self.id.str() + "." +
-           std::to_string(++mNextNumber);
+           std::to_string(++mLastIdNumber);
   }
 
 private:
   TimePoint mNow;
   const NodeOptions& mOptions;
-  std::uint64_t& mNextNumber;
+  std::uint64_t& mLastIdNumber;
   std::vector<Action> mActions;
-  TimePoint mWake = TimePoint::max();
+  TimePoint mWakeTime = TimePoint::max();
 };
 
 } // namespace rhubarbtrail
--- a/src/decision/node.cpp
+++ b/src/decision/node.cpp
@@ -1,4 +1,4 @@
-/* One daemon's decisions: hands each event to the parts that it concerns. */
+/* Passes each event to the view, the router and the scheduler, as far as it concerns them. */
 #include "decision/decision.h"
 
 #include "decision/context_type.h"
@@ -70,22 +70,25 @@
   }
   void Handle(Context& aContext, const MessageReceived& aEvent);
 
+  /* Releases the leases, and emits ShutdownComplete once the process may end. Called after each
+   * event while the node is stopping. */
   void FinishShutdown(Context& aContext);
 
   NodeOptions options;
-  std::uint64_t nextNumber = 0;
+  std::uint64_t lastIdNumber = 0; ///< Counter for Context::NewUniqueId().
   View view;
   Router router;
   Scheduler scheduler;
-  TimePoint now{};
-  TimePoint wake = TimePoint::max();
+  TimePoint now{};                       ///< Latest time of any event.
+  TimePoint wakeTime = TimePoint::max(); ///< Time of the last WakeAt, until a Wake is handled.
   bool isStopping = false;
-  bool isComplete = false;
+  bool isShutdownComplete = false;
 };
 
 void Node::Impl::Handle(Context& aContext, const MessageReceived& aEvent)
 {
   const DaemonId& from = aEvent.from.daemon;
+  // The view has no entry for this daemon itself.
   if (from != options.self.daemon) {
     view.OnMessage(aContext, aEvent);
   }
@@ -109,9 +112,9 @@
 void Node::Impl::FinishShutdown(Context& aContext)
 {
   scheduler.ReleaseLeases(aContext, view);
-  const bool mayEnd = router.IsIdle() || !aContext.IsEnabled(Mechanism::kShutdownDrain);
-  if (!isComplete && mayEnd && scheduler.IsIdle()) {
-    isComplete = true;
+  const bool mayStopRouter = router.IsIdle() || !aContext.IsEnabled(Mechanism::kShutdownDrain);
+  if (!isShutdownComplete && mayStopRouter && scheduler.IsIdle()) {
+    isShutdownComplete = true;
     aContext.Emit(ShutdownComplete{});
   }
   aContext.WakeBy(aContext.now() + options.settings.tableRetryDelay);
@@ -129,23 +132,24 @@
 std::vector<Action> Node::Apply(TimePoint aNow, const Event& aEvent)
 {
   mImpl->now = std::max(mImpl->now, aNow);
-  Context context(mImpl->now, mImpl->options, mImpl->nextNumber);
+  Context context(mImpl->now, mImpl->options, mImpl->lastIdNumber);
   const bool isWake = std::holds_alternative<Wake>(aEvent);
-  const bool isOverdue = mImpl->wake <= mImpl->now;
+  const bool isOverdue = mImpl->wakeTime <= mImpl->now;
   if (isWake || isOverdue) {
-    mImpl->wake = TimePoint::max();
+    mImpl->wakeTime = TimePoint::max();
   }
-  // What has become due comes before the event: it may have been held up by a pause.
+  // After a pause of the process, an event may be applied before a Wake that is overdue. Timers are
+  // handled first.
   if (isOverdue && !isWake) {
     mImpl->Handle(context, Wake{});
   }
-  std::visit([&](const auto& aKind) { mImpl->Handle(context, aKind); }, aEvent);
+  std::visit([&](const auto& aTypedEvent) { mImpl->Handle(context, aTypedEvent); }, aEvent);
   if (mImpl->isStopping) {
     mImpl->FinishShutdown(context);
   }
-  if (context.wake() < mImpl->wake) {
-    mImpl->wake = context.wake();
-    context.Emit(WakeAt{ mImpl->wake });
+  if (context.wakeTime() < mImpl->wakeTime) {
+    mImpl->wakeTime = context.wakeTime();
+    context.Emit(WakeAt{ mImpl->wakeTime });
   }
   std::vector<Action> actions = context.TakeActions();
   mImpl->scheduler.RecordOrders(actions);
