--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -423,7 +423,7 @@
 
   const Envelope heartbeat{ .from = { DaemonId{ "daemon-0123" },
                                       IncarnationId{ "0123456789abcdef" } },
-                            .senderVersion = { 8'200 },
+                            .senderConfigVersion = { 8'200 },
                             .message = HeartbeatMessage{ { 8'200 }, false } };
   std::printf("heartbeat: %zu bytes encoded\n", EncodeEnvelope(heartbeat).size());
   std::printf("table reads of one daemon in its first second, 1100 starting at once: %lu\n",
--- a/src/codec/json_codec.cpp
+++ b/src/codec/json_codec.cpp
@@ -168,7 +168,7 @@
 {
   json envelope = EncodeVariant(aEnvelope.message, kMessageKindNames);
   envelope["from"] = aEnvelope.from;
-  envelope["version"] = aEnvelope.senderVersion;
+  envelope["version"] = aEnvelope.senderConfigVersion;
   return json::to_msgpack(envelope);
 }
 
@@ -177,7 +177,7 @@
   try {
     const json envelope = json::from_msgpack(aBytes);
     return Envelope{ .from = envelope.at("from").get<Incarnation>(),
-                     .senderVersion = envelope.at("version").get<ConfigVersion>(),
+                     .senderConfigVersion = envelope.at("version").get<ConfigVersion>(),
                      .message = DecodeVariant<Message>(envelope, kMessageKindNames) };
   } catch (const std::exception& error) {
     return tl::make_unexpected(std::string{ error.what() });
--- a/src/codec/json_codec.h
+++ b/src/codec/json_codec.h
@@ -20,7 +20,7 @@
 struct Envelope
 {
   Incarnation from;
-  ConfigVersion senderVersion; ///< Configuration version of the sender.
+  ConfigVersion senderConfigVersion; ///< Configuration version of the sender.
   Message message;
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -118,16 +118,16 @@
   , mStopAttemptThreads(kStopAttemptThreads)
   , mLoop(MakeNodeOptions(mSettings, mSelf),
           [this](Action aAction) { ExecuteAction(std::move(aAction)); })
-  , mPeerTransport({ .address = mSettings.listenAddress, .port = mSettings.peerPort },
-                   [this](Envelope aEnvelope) {
-                     if (const auto* message =
-                           std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
-                       LoadConfiguration(message->row);
-                     }
-                     mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
-                                                 .senderVersion = aEnvelope.senderVersion,
-                                                 .message = std::move(aEnvelope.message) });
-                   })
+  , mPeerTransport(
+      { .address = mSettings.listenAddress, .port = mSettings.peerPort },
+      [this](Envelope aEnvelope) {
+        if (const auto* message = std::get_if<ConfigurationMessage>(&aEnvelope.message)) {
+          LoadConfiguration(message->row);
+        }
+        mLoop.Post(MessageReceived{ .from = std::move(aEnvelope.from),
+                                    .senderConfigVersion = aEnvelope.senderConfigVersion,
+                                    .message = std::move(aEnvelope.message) });
+      })
   , mCallerServer(
       { .address = mSettings.listenAddress,
         .port = mSettings.callerPort,
@@ -384,7 +384,7 @@
   const ConfigVersion version{ mConfigurationVersion };
   if (aAction.to == mSelf.daemon) {
     mLoop.Post(MessageReceived{
-      .from = mSelf, .senderVersion = version, .message = std::move(aAction.message) });
+      .from = mSelf, .senderConfigVersion = version, .message = std::move(aAction.message) });
     return;
   }
   mPeerTransport.Send(aAction.address, { mSelf, version, std::move(aAction.message) });
--- a/src/decision/decision_settings_type.h
+++ b/src/decision/decision_settings_type.h
@@ -29,7 +29,8 @@
   /* Interval between demands for the same artifact, and between repeats of an isolation request. */
   Duration demandInterval = 500ms;
   Duration replicaLifetime = 10s; ///< Validity of the replica locations in a demand reply.
-  Duration orderRetry = 500ms; ///< Delay before an order that failed or got no answer is repeated.
+  Duration orderRetryDelay =
+    500ms;                     ///< Delay before an order that failed or got no answer is repeated.
   Duration progressLimit = 3s; ///< Maximum time without bytes during an attempt.
   Duration tableRetryDelay = 500ms; ///< Delay before a failed table call is repeated.
   /* Time for which a quarantined request is refused, and for which a suspect remains marked. */
@@ -50,13 +51,13 @@
 enum class Mechanism : std::uint8_t
 {
   /* A new lease holder uses a runner only after it has received an inventory from it. */
-  kFencedRecovery,
+  kInventoryBeforeUse,
   /* An order is sent only after the placement row records it. Runners that check the fencing token
    * may get some orders earlier while the table is unreachable. */
-  kWrittenIntent,
+  kPlacementBeforeOrder,
   /* Memory on a runner that does not check the fencing token stays reserved for an order of a
    * former holder until that holder withdraws the order or is proven dead. */
-  kReservedIntent,
+  kFormerOrderReservation,
   /* A runner that does not check the fencing token gets no order that could arrive after the end of
    * the lease. */
   kLeaseMargin,
--- a/src/decision/event_type.h
+++ b/src/decision/event_type.h
@@ -136,7 +136,8 @@
 struct MessageReceived
 {
   Incarnation from;
-  ConfigVersion senderVersion; ///< Configuration version of the sender when it sent the message.
+  ConfigVersion
+    senderConfigVersion; ///< Configuration version of the sender when it sent the message.
   Message message;
 };
 
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -308,7 +308,7 @@
     // holder has sent, so the memory stays reserved until the order cannot arrive any more.
     replica.isReserved = AreOrdersUnchecked(aView) && entry.issuer != aContext.self() &&
                          entry.state != PlacementState::kLoaded &&
-                         aContext.IsEnabled(Mechanism::kReservedIntent);
+                         aContext.IsEnabled(Mechanism::kFormerOrderReservation);
     switch (entry.state) {
       case PlacementState::kLoad:
         replica.phase = ReplicaPhase::kLoading;
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -25,7 +25,7 @@
     Runner& runner = mRunners[id];
     runner.id = id;
     const ServiceSpec* service = FindServiceSpec(aView);
-    if (!aContext.IsEnabled(Mechanism::kFencedRecovery) && runner.bootId.empty() &&
+    if (!aContext.IsEnabled(Mechanism::kInventoryBeforeUse) && runner.bootId.empty() &&
         service != nullptr) {
       // Only in tests: the first inventory is not awaited. The boot id comes from the host list,
       // the memory from the configuration and the replicas from the written placement.
@@ -69,13 +69,13 @@
     return false;
   }
   if (!aReplica.isIntentWritten && areOrdersUnchecked &&
-      aContext.IsEnabled(Mechanism::kWrittenIntent)) {
+      aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
     return false;
   }
   if (aReplica.isIntentWritten) {
     return true;
   }
-  if (!aContext.IsEnabled(Mechanism::kWrittenIntent)) {
+  if (!aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
     return true;
   }
   // While the table is down, runners that check the fencing token get unwritten orders, too:
@@ -174,7 +174,7 @@
         // The runner's process has ended, and with it the replicas that it had.
         Reconcile(aContext, aView, runner, { .bootId = kEndedProcessBootId, .models = {} });
       }
-      runner.nextInventoryAt = aContext.now() + aContext.settings().orderRetry;
+      runner.nextInventoryAt = aContext.now() + aContext.settings().orderRetryDelay;
       runner.reachability = RunnerReachability::kUnreachable;
     }
     const bool isReachable = runner.reachability == RunnerReachability::kReachable;
@@ -206,7 +206,7 @@
       replica.adapters.insert(adapter);
       SendReadyReplies(aContext, aView, { model, adapter });
     } else if (aResult.outcome != OrderOutcome::kAccepted) {
-      replica.adapterRetryAt[adapter] = aContext.now() + aContext.settings().orderRetry;
+      replica.adapterRetryAt[adapter] = aContext.now() + aContext.settings().orderRetryDelay;
       runner.nextInventoryAt = aContext.now();
     }
     OnWake(aContext, aView);
@@ -239,7 +239,7 @@
     case OrderOutcome::kNoMemory:
     case OrderOutcome::kFailed:
       if (aReplica.isReserved) {
-        aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
+        aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
         return;
       }
       RemoveReplica(aRunner, model);
@@ -252,13 +252,13 @@
         RemoveReplica(aRunner, model);
         return;
       }
-      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
+      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
       return;
     case OrderOutcome::kUnknown:
     case OrderOutcome::kFenced:
       aReplica.mayHaveReachedRunner = true;
       aReplica.isOrderConfirmed = false;
-      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
+      aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
       return;
   }
 }
@@ -278,7 +278,7 @@
     return;
   }
   aReplica.isOrderConfirmed = false;
-  aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetry;
+  aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
 }
 
 void Cell::Reconcile(Context& aContext,
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -175,7 +175,7 @@
 
 void View::OnMessage(Context& aContext, const MessageReceived& aReceived)
 {
-  RecordMember(aContext, aReceived.from, aReceived.senderVersion);
+  RecordMember(aContext, aReceived.from, aReceived.senderConfigVersion);
   if (const auto* heartbeat = std::get_if<HeartbeatMessage>(&aReceived.message)) {
     OnHeartbeat(aContext, aReceived, *heartbeat);
   } else if (const auto* wanted = std::get_if<ConfigurationRequestMessage>(&aReceived.message)) {
@@ -190,8 +190,10 @@
       mLeavingBootIds[leaving->endpoint] = leaving->bootId;
     }
   }
-  if (aReceived.senderVersion > mConfigurationRow.version) {
-    SendTo(aContext, aReceived.from.daemon, ConfigurationRequestMessage{ aReceived.senderVersion });
+  if (aReceived.senderConfigVersion > mConfigurationRow.version) {
+    SendTo(aContext,
+           aReceived.from.daemon,
+           ConfigurationRequestMessage{ aReceived.senderConfigVersion });
   }
   UpdateReadiness(aContext);
 }
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -180,7 +180,7 @@
 };
 
 const Mutation kMutations[]{
-  { Mechanism::kFencedRecovery,
+  { Mechanism::kInventoryBeforeUse,
     "fenced recovery",
     "replicas",
     { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut },
@@ -190,13 +190,13 @@
     "possible replicas",
     "replicas",
     { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut } },
-  { Mechanism::kReservedIntent,
+  { Mechanism::kFormerOrderReservation,
     "reserved intent",
     "written order",
     { Fault::kFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
     OrderCheck::kUnchecked,
     1'225 },
-  { Mechanism::kWrittenIntent, "written intent", "written order" },
+  { Mechanism::kPlacementBeforeOrder, "written intent", "written order" },
   { Mechanism::kMemoryReservation, "memory reservation", "memory" },
   { Mechanism::kDrainBeforeUnload, "drain before unload", "cut stream" },
   { Mechanism::kDemandMerging, "demand merging", "replicas" },
--- a/tests/unit/contract_peer_test.cpp
+++ b/tests/unit/contract_peer_test.cpp
@@ -71,8 +71,9 @@
     REQUIRE(sender.Start() != 0);
     for (std::size_t number = 1; number <= item.count; ++number) {
       const ConfigurationRow row{ .version = { number }, .document = std::string(item.bytes, 'x') };
-      sender.Send(receiver.address(),
-                  { .from = {}, .senderVersion = {}, .message = ConfigurationMessage{ row } });
+      sender.Send(
+        receiver.address(),
+        { .from = {}, .senderConfigVersion = {}, .message = ConfigurationMessage{ row } });
     }
     CHECK(receiver.WaitFor(item.count));
     CHECK(sender.counters().lostMessages == 0);
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -110,7 +110,7 @@
   const RequestId longDeadline = world.SendRequest({ .timeLeft = 14s });
   world.Apply(0,
               MessageReceived{ .from = World::IncarnationOf(0),
-                               .senderVersion = { 1 },
+                               .senderConfigVersion = { 1 },
                                .message = DemandReplyMessage{
                                  .cell = CellId{ "models" },
                                  .artifact = { .model = ModelId{ "m" }, .adapter = {} },
--- a/tests/unit/view_test.cpp
+++ b/tests/unit/view_test.cpp
@@ -30,7 +30,7 @@
     Context context{ now, options, number };
     view.OnMessage(context,
                    { .from = { DaemonId{ aDaemon }, IncarnationId{ aIncarnation } },
-                     .senderVersion = {},
+                     .senderConfigVersion = {},
                      .message = HeartbeatMessage{} });
   }
 
