--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -1,4 +1,5 @@
-/* Attempts over cpp-httplib; docs/INTERFACES.md says what is asked of endpoints. */
+/* Sends requests to endpoints with cpp-httplib. docs/INTERFACES.md defines the requirements on
+ * endpoints. */
 #include "endpoint/attempt.h"
 
 #include "endpoint/sse_splitter.h"
@@ -14,20 +15,20 @@
 
 namespace {
 
-/* Time allowed for a connection to an endpoint. */
+/* Timeout for connecting to an endpoint, and for each read of a probe. */
 constexpr Duration kConnectTimeout = 1s;
-/* Questions to an endpoint whose connection broke, and the time between them. */
+/* Number of health probes of an endpoint whose connection broke, and the time between them. */
 constexpr int kProbeLimit = 5;
 constexpr Duration kProbePause = 10ms;
-/* Connections that one thread keeps open at most. */
+/* Idle connections that one thread keeps open. All are closed when one more is to be kept. */
 constexpr std::size_t kConnectionLimit = 32;
-/* Largest whole answer that is taken, in bytes. */
+/* Largest non-streaming answer that is accepted, in bytes. */
 constexpr std::size_t kAnswerLimit = 64U << 20U;
 constexpr int kHttpOk = 200;
 constexpr int kHttpNoContent = 204;
 constexpr int kHttpServerError = 500;
 
-/* The connections that a thread keeps, and the one in use. */
+/* The idle connections of one thread, at most one for each address. */
 class Connections
 {
 public:
@@ -58,7 +59,7 @@
   std::unordered_map<std::string, std::shared_ptr<httplib::Client>> mIdle;
 };
 
-/* Stops a client's call from another thread, while the call is that of one attempt. */
+/* Lets another thread stop the call that a client makes for one attempt. */
 class Canceller
 {
 public:
@@ -73,7 +74,7 @@
       mClient->stop();
     }
   }
-  /* From now on the client may serve other attempts. */
+  /* Makes Cancel() ineffective, since the client may serve other attempts from now on. */
   void Detach()
   {
     const std::lock_guard lock(mMutex);
@@ -85,9 +86,10 @@
   std::shared_ptr<httplib::Client> mClient;
 };
 
-/* Returns whether the process at an address has gone: it refuses connections. The system closes
- * the sockets of a process one after the other, its listening socket not always first; so a
- * connection that is accepted and breaks at once is tried again. */
+/* Returns whether the process at an address has ended, which shows in refused connections. When a
+ * process ends, the system closes its sockets one after the other, and the listening socket is not
+ * always the first. A probe is therefore repeated when its connection is accepted and breaks at
+ * once. */
 bool RefusesConnections(const std::string& aAddress)
 {
   for (int tries = 0; tries < kProbeLimit; ++tries) {
@@ -108,7 +110,7 @@
   return false;
 }
 
-/* Follows one answer while it arrives. */
+/* Reads the answer of one attempt, forwards it to the session and determines the outcome. */
 class AnswerReader
 {
 public:
@@ -127,7 +129,7 @@
     const std::string id = aResponse.get_header_value("X-Request-Id");
     mIsMismatched = !id.empty() && id != mStart.request.str();
     mIsStream = mSession.call().form == AnswerForm::kStream && mStatus == kHttpOk;
-    // An engine that does not confirm the offset starts from the beginning.
+    // An engine that does not return the requested offset sends the stream from its beginning.
     const std::string offset = std::to_string(mStart.resumeOffset);
     mNextIndex = aResponse.get_header_value("X-Resume-Offset") == offset ? mStart.resumeOffset : 0;
     mHasEnd = aResponse.has_header("Content-Length") || mStatus == kHttpNoContent ||
@@ -159,6 +161,7 @@
     return true;
   }
 
+  /* Returns the result of the attempt. Gives a complete non-streaming answer to the session. */
   AttemptEnded Judge(const httplib::Result& aResult)
   {
     AttemptEnded ended{ .request = mStart.request,
@@ -204,7 +207,7 @@
       return mIsEnded ? AttemptOutcome::kCompleted : AttemptOutcome::kCut;
     }
     if (!mHasEnd) {
-      // The end of the connection is no proof that the answer is whole.
+      // Without a length, a closed connection does not show whether the answer is complete.
       return AttemptOutcome::kCut;
     }
     const bool isOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
@@ -231,7 +234,8 @@
     return RefusesConnections(mStart.address) ? AttemptOutcome::kCrashed : AttemptOutcome::kCut;
   }
 
-  /* Notes that something arrived; false when the attempt is no longer wanted. */
+  /* Records that bytes have arrived. Returns false when the attempt was stopped or superseded, or
+   * the request has ended. */
   bool Progress()
   {
     mProgressAt = std::chrono::steady_clock::now();
@@ -251,7 +255,7 @@
   bool mIsStream = false;
   bool mIsEnded = false;
   bool mIsMismatched = false;
-  bool mHasEnd = false; ///< The answer says where it ends.
+  bool mHasEnd = false; ///< The header gives the length, chunked framing or status 204.
 };
 
 httplib::Request MakeRequest(const Session& aSession,
@@ -298,6 +302,8 @@
   }
   const auto client = sConnections.Take(aStart.address, aStart.reuse);
   const Duration limit = std::min(aStart.progressLimit, std::max(aStart.timeLeft, Duration{ 1ms }));
+  // A non-streaming answer shows no progress while the endpoint computes it. Only the deadline
+  // limits it.
   const Duration silence =
     aSession.call().form == AnswerForm::kStream ? limit : std::max(aStart.timeLeft, limit);
   client->set_read_timeout(silence);
--- a/src/endpoint/attempt.h
+++ b/src/endpoint/attempt.h
@@ -1,4 +1,4 @@
-/* One attempt of a request at an endpoint. */
+/* One attempt to send a request to an endpoint. */
 #ifndef RHUBARBTRAIL_ENDPOINT_ATTEMPT_H
 #define RHUBARBTRAIL_ENDPOINT_ATTEMPT_H
 
@@ -6,7 +6,8 @@
 
 namespace rhubarbtrail {
 
-/* Sends the request of a session to an endpoint, passes the answer on and says how it ended. */
+/* Sends a session's request to an endpoint and forwards the answer to the session. Blocks until the
+ * attempt has ended, and returns its outcome. */
 AttemptEnded RunAttempt(Session& aSession, const StartAttempt& aStart);
 
 } // namespace rhubarbtrail
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -1,4 +1,4 @@
-/* Orders over HTTP and JSON; docs/INTERFACES.md describes the protocol. */
+/* Sends orders to runners over HTTP and JSON. docs/INTERFACES.md describes the protocol. */
 #include "endpoint/order_client.h"
 
 #include "codec/json_codec.h"
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 constexpr std::array kKindNames{ "inventory", "load_model", "unload_model", "load_adapter" };
-/* How long the engine may hold the answer to a question about a running order. */
+/* How long the engine may delay its answer to a status request while the order is running. */
 constexpr Duration kFollowWait = 1s;
 
 OrderOutcome OutcomeOf(const std::string& aState)
@@ -95,7 +95,7 @@
                                            .body = {},
                                            .timeout = aOptions.timeout + kFollowWait }));
   if (result.outcome == OrderOutcome::kNotConnected || result.outcome == OrderOutcome::kRefused) {
-    // The order was taken on, so it may still take effect.
+    // The runner had accepted the order, so the order may still take effect.
     result.outcome = OrderOutcome::kUnknown;
   }
   return result;
--- a/src/endpoint/order_client.h
+++ b/src/endpoint/order_client.h
@@ -1,4 +1,4 @@
-/* Orders to a runner's engine. */
+/* Sends orders to the engine of a runner. */
 #ifndef RHUBARBTRAIL_ENDPOINT_ORDER_CLIENT_H
 #define RHUBARBTRAIL_ENDPOINT_ORDER_CLIENT_H
 
@@ -13,10 +13,11 @@
   Incarnation issuer;
 };
 
-/* Sends an order; kAccepted means that the engine takes time for it. */
+/* Sends an order. kAccepted means that the engine has accepted it and is still running it. */
 OrderResult GiveOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder);
 
-/* Waits a moment for the end of an accepted order; kAccepted means that it is still running. */
+/* Waits up to 1 s for the end of an accepted order, on top of the timeout of the call. kAccepted
+ * means that it is still running. */
 OrderResult FollowOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder);
 
 } // namespace rhubarbtrail
--- a/src/endpoint/sse_splitter.h
+++ b/src/endpoint/sse_splitter.h
@@ -1,4 +1,4 @@
-/* Splits a stream of server-sent events into single events. */
+/* Splits a byte stream into server-sent events. */
 #ifndef RHUBARBTRAIL_ENDPOINT_SSE_SPLITTER_H
 #define RHUBARBTRAIL_ENDPOINT_SSE_SPLITTER_H
 
@@ -8,23 +8,24 @@
 
 namespace rhubarbtrail {
 
-/* The end mark of an OpenAI-style stream. */
+/* The last event of a stream in the OpenAI format. */
 constexpr std::string_view kStreamEndMark = "data: [DONE]\n\n";
 
-/* Longest event that is taken; a longer one ends the stream. */
+/* Largest number of buffered bytes. A longer event makes Feed() fail, which ends the attempt. */
 constexpr std::size_t kEventSizeLimit = 1U << 20U;
 
 class SseSplitter
 {
 public:
-  /* Takes the next bytes; returns false when an event is too long. */
+  /* Appends bytes to the buffer. Returns false when it exceeds kEventSizeLimit. */
   bool Feed(std::string_view aBytes)
   {
     mBuffer += aBytes;
     return mBuffer.size() <= kEventSizeLimit;
   }
 
-  /* Returns the next whole event with its closing blank line, or nothing. */
+  /* Removes and returns the next complete event, including the blank line that ends it. Returns
+   * nothing when the buffer holds no complete event. */
   std::optional<std::string> Next()
   {
     const auto end = mBuffer.find("\n\n");
--- a/src/peer/fleet_link.cpp
+++ b/src/peer/fleet_link.cpp
@@ -1,4 +1,4 @@
-/* Connections between the daemons of a fleet, on the event loop. */
+/* Sends and receives the messages between the daemons of a fleet, on the event loop. */
 #include "peer/fleet_link.h"
 
 #include "core/boot_clock.h"
@@ -20,12 +20,14 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/* Messages that wait for a connection to be made. */
+/* Messages to one address that are queued while its connection is being established. Further ones
+ * are dropped. */
 constexpr std::size_t kWaitingLimit = 1'024;
 constexpr Duration kConnectLimit = 600ms;
+/* Time between a failed accept and the next one. */
 constexpr Duration kAcceptPause = 50ms;
 
-/* A connection in either direction, driven by the event loop. */
+/* An accepted or outgoing connection, driven by the event loop. */
 class Link : public std::enable_shared_from_this<Link>
 {
 public:
@@ -67,7 +69,7 @@
     return !mIsEnded && mConnection->IsSilent(aNow, aLimit);
   }
 
-  /* Closes the connection and says so, unless Detach() was called. */
+  /* Closes the connection and calls the end handler, unless Detach() was called. */
   void End()
   {
     if (std::exchange(mIsEnded, true)) {
@@ -135,7 +137,7 @@
   bool mIsEnded = false;
 };
 
-/* A connection to one address: being made, or there. */
+/* A connection to one address. While it is being established, link is null and messages wait. */
 struct Outgoing
 {
   explicit Outgoing(asio::io_context& aContext)
@@ -181,7 +183,7 @@
 
 void FleetLink::Impl::OnSocket(tcp::socket aSocket)
 {
-  error_code ignored; // A socket that fails here fails at its first read, too.
+  error_code ignored; // If this fails, the first read fails, too, and closes the connection.
   aSocket.native_non_blocking(true, ignored);
   http::SetSocketOptions(aSocket);
   const std::weak_ptr<Impl> weak = weak_from_this();
@@ -222,7 +224,7 @@
   item->timer.expires_after(kConnectLimit);
   item->timer.async_wait([item](error_code aError) {
     if (!aError && !item->link) {
-      error_code ignored; // The connection attempt ends with an error.
+      error_code ignored; // Closing the socket ends async_connect() with an error.
       item->socket.close(ignored);
     }
   });
@@ -231,7 +233,7 @@
                                item->timer.cancel();
                                const auto found = self->outgoing.find(aAddress);
                                if (found == self->outgoing.end() || found->second != item) {
-                                 return; // Disconnected meanwhile.
+                                 return; // Disconnect() or Close() was called meanwhile.
                                }
                                if (aError) {
                                  self->Break(aAddress);
@@ -244,7 +246,7 @@
 void FleetLink::Impl::OnConnected(const std::string& aAddress,
                                   const std::shared_ptr<Outgoing>& aOutgoing)
 {
-  error_code ignored; // A socket that fails here fails at its first write, too.
+  error_code ignored; // If this fails, the first write fails, too, and closes the connection.
   aOutgoing->socket.native_non_blocking(true, ignored);
   const std::weak_ptr<Impl> weak = weak_from_this();
   aOutgoing->link = std::make_shared<Link>(
--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -1,4 +1,4 @@
-/* Connections between the daemons of a fleet, on the event loop. */
+/* Sends and receives the messages between the daemons of a fleet, on the event loop. */
 #ifndef RHUBARBTRAIL_PEER_FLEET_LINK_H
 #define RHUBARBTRAIL_PEER_FLEET_LINK_H
 
@@ -15,19 +15,22 @@
 
 struct FleetLinkHandlers
 {
-  /* Takes a message from another daemon. */
+  /* Called with each message that another daemon has sent. */
   std::function<void(const std::string& aBytes)> onMessage;
-  /* A connection that this daemon opened has ended; what was on its way may be lost. */
+  /* Called when a connection that this daemon opened, or tried to open, has ended. Messages that
+   * the other daemon has not acknowledged may be lost. */
   std::function<void(const std::string& aAddress)> onBroken;
 };
 
 struct FleetLinkOptions
 {
-  std::string address;             ///< host:port to listen on.
-  Duration silenceLimit = 1'200ms; ///< An unanswered message ends its connection after this time.
+  std::string address; ///< host:port to listen on.
+  /* A message without a response for longer closes its connection. */
+  Duration silenceLimit = 1'200ms;
 };
 
-/* One HTTP/2 connection in each direction that is used; one stream for each message. */
+/* Keeps one outgoing HTTP/2 connection for each address that messages are sent to, and accepts the
+ * connections of other daemons. Each message is one HTTP/2 stream. */
 class FleetLink
 {
 public:
@@ -38,13 +41,14 @@
   FleetLink(const FleetLink&) = delete;
   FleetLink& operator=(const FleetLink&) = delete;
 
-  /* Listens; returns why not, or an empty text. */
+  /* Starts to listen. Returns an error message, or an empty string on success. */
   std::string Listen();
-  /* Sends a message; connects first where there is no connection. */
+  /* Sends a message. Opens a connection if there is none, and queues the message until then. */
   void Send(const std::string& aAddress, std::vector<std::uint8_t> aBytes);
-  /* Closes the connection to an address, without a call of onBroken. */
+  /* Closes the connection to an address without calling onBroken. */
   void Disconnect(const std::string& aAddress);
-  /* Ends connections that have been silent for too long; to be called now and then. */
+  /* Closes outgoing connections with a message that has had no response for longer than
+   * silenceLimit. Must be called periodically. */
   void CheckSilence(TimePoint aNow);
   void Close();
 
--- a/src/peer/peer_connection.cpp
+++ b/src/peer/peer_connection.cpp
@@ -1,4 +1,4 @@
-/* HTTP/2 between daemons, on nghttp2. */
+/* HTTP/2 connections between daemons, implemented with nghttp2. */
 #include "peer/peer_connection.h"
 
 #include <algorithm>
@@ -12,17 +12,18 @@
 
 namespace {
 
-/* Bytes of unfinished messages that one connection may make this daemon store. */
+/* Total size of the incomplete messages of one connection. The connection is closed beyond it,
+ * which bounds the memory that a peer can make this daemon use. */
 constexpr std::size_t kIncomingLimit = 8U << 20U;
-/* Streams that may be open at a time on one connection. */
+/* Open streams of one connection at a time. Each message without a response occupies one. */
 constexpr std::uint32_t kStreamLimit = 1'024;
-/* Flow-control window of a stream and of a connection. */
+/* Flow-control window of a stream and of a connection, in bytes. */
 constexpr std::uint32_t kWindow = 8U << 20U;
 constexpr std::size_t kReadSize = 64U << 10U;
 
 nghttp2_nv Header(const char* aName, const char* aValue)
 {
-  // nghttp2 copies names and values, and does not change them.
+  // The casts are safe: nghttp2 copies names and values and does not modify them.
   return { reinterpret_cast<std::uint8_t*>(const_cast<char*>(aName)),
            reinterpret_cast<std::uint8_t*>(const_cast<char*>(aValue)),
            std::strlen(aName),
--- a/src/peer/peer_connection.h
+++ b/src/peer/peer_connection.h
@@ -20,7 +20,7 @@
   kClient,
 };
 
-/* An nghttp2 session on a non-blocking socket. Used by one thread. */
+/* An nghttp2 session on a non-blocking socket. Owns the socket. Used by one thread only. */
 class PeerConnection
 {
 public:
@@ -34,26 +34,30 @@
   int socket() const { return mSocket; }
   bool WantsWrite() const;
 
-  /* Sends a message on a new stream; false when the connection takes no more. */
+  /* Queues a message on a new stream. Returns false when too many messages have no response yet or
+   * nghttp2 accepts no new stream. */
   bool Submit(std::vector<std::uint8_t> aBody, TimePoint aNow);
 
-  /* Reads what has arrived; false when the connection has ended. */
+  /* Reads and processes received bytes, then writes. Returns false when the connection has ended or
+   * failed. */
   bool OnReadable();
-  /* Writes what is due; false when the connection has ended. */
+  /* Writes queued frames until the socket blocks. Returns false when the connection has ended or
+   * failed. */
   bool OnWritable();
 
-  /* Returns whether a message has waited longer than aLimit for its answer. */
+  /* Returns whether a message was queued more than aLimit ago and has no response yet. */
   bool IsSilent(TimePoint aNow, Duration aLimit) const;
 
   std::uint64_t sentBytes() const { return mSentBytes; }
   std::uint64_t receivedBytes() const { return mReceivedBytes; }
+  /* Number of messages that were queued and have no response yet. */
   std::size_t unanswered() const { return mOutgoing.size(); }
 
 private:
   enum class SendOutcome : std::uint8_t
   {
     kSent,
-    kBlocked, ///< The socket takes no more now.
+    kBlocked, ///< The socket's send buffer is full.
     kBroken,
   };
 
@@ -83,7 +87,7 @@
                            std::uint32_t aError,
                            void* aSelf);
 
-  /* Sends what nghttp2 handed out and the socket did not take yet. */
+  /* Sends the remaining bytes of the frame data that was taken from nghttp2. */
   SendOutcome SendUnsent();
   void ForgetIncoming(std::int32_t aStream);
 
@@ -94,7 +98,7 @@
   std::map<std::int32_t, Outgoing> mOutgoing;
   std::map<std::int32_t, std::string> mIncoming;
   std::size_t mIncomingBytes = 0;
-  std::vector<std::uint8_t> mUnsent; ///< The frame that is being sent.
+  std::vector<std::uint8_t> mUnsent; ///< Frame data taken from nghttp2; sent up to mUnsentOffset.
   std::size_t mUnsentOffset = 0;
   std::uint64_t mSentBytes = 0;
   std::uint64_t mReceivedBytes = 0;
--- a/src/peer/peer_transport.cpp
+++ b/src/peer/peer_transport.cpp
@@ -1,4 +1,4 @@
-/* The thread that serves the connections between daemons. */
+/* The thread that sends and receives the messages between daemons. */
 #include "peer/peer_transport.h"
 
 #include "peer/peer_connection.h"
@@ -22,11 +22,12 @@
 
 namespace {
 
-/* Longest sleep of the thread, so that silent connections are noticed. */
+/* Longest wait in poll(). Connections with overdue messages are closed at least that often. */
 constexpr int kPollTimeoutMs = 200;
-/* Connections taken from other daemons at most. */
+/* Connections accepted from other daemons. Further ones are closed at once. */
 constexpr std::size_t kConnectionLimit = 2'048;
-/* Bytes that the kernel may hold for a slow peer; a whole configuration fits. */
+/* Bytes that the kernel may buffer for each connection when the peer is slow to read. A complete
+ * configuration fits. */
 constexpr int kSendBuffer = 4 << 20;
 
 TimePoint Now()
@@ -42,7 +43,8 @@
   setsockopt(aSocket, SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof(kSendBuffer));
 }
 
-/* Parses "host:port" with an IP number. */
+/* Parses "host:port". Returns false when the host is not an IPv4 address. The port is not checked.
+ */
 bool ParseAddress(const std::string& aAddress, sockaddr_in& aOut)
 {
   const auto colon = aAddress.rfind(':');
@@ -55,6 +57,7 @@
   return inet_pton(AF_INET, aAddress.substr(0, colon).c_str(), &aOut.sin_addr) == 1;
 }
 
+/* Starts a non-blocking connect. Returns the socket, or -1 on failure. */
 int Connect(const std::string& aAddress)
 {
   sockaddr_in target{};
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -1,4 +1,4 @@
-/* Messages between daemons over HTTP/2 streams. */
+/* Sends and receives the messages between daemons over HTTP/2, on a thread of its own. */
 #ifndef RHUBARBTRAIL_PEER_PEER_TRANSPORT_H
 #define RHUBARBTRAIL_PEER_PEER_TRANSPORT_H
 
@@ -15,7 +15,7 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  Duration answerLimit = 1500ms; ///< A connection that leaves a message unanswered is closed.
+  Duration answerLimit = 1500ms; ///< A message without a response for longer closes the connection.
 };
 
 struct PeerCounters
@@ -23,12 +23,14 @@
   std::uint64_t sentBytes = 0;
   std::uint64_t receivedBytes = 0;
   std::uint64_t sentMessages = 0;
+  /* Messages that could not be queued on a connection, and those without a response when their
+   * connection failed. Those of connections closed after answerLimit are not counted. */
   std::uint64_t lostMessages = 0;
 };
 
-/* One thread that serves all connections to and from other daemons. Each message is one stream:
- * a POST whose body is the envelope. A message that cannot be delivered is dropped; the
- * decisions repeat what matters. */
+/* Serves all connections to and from other daemons on one thread. Each message is one HTTP/2
+ * stream: a POST request whose body is the encoded envelope. A message that cannot be delivered is
+ * dropped. The decision code sends messages again where their loss matters. */
 class PeerTransport
 {
 public:
@@ -37,8 +39,9 @@
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  /* Binds and starts; returns the port, or 0 when it cannot be bound. */
+  /* Starts to listen and starts the thread. Returns the port, or 0 when listening fails. */
   std::uint16_t Start();
+  /* Queues a message for the transport's thread. May be called by any thread. */
   void Send(const std::string& aAddress, const Envelope& aEnvelope);
   void Stop();
   PeerCounters counters() const;
--- a/src/table/host_list_client.cpp
+++ b/src/table/host_list_client.cpp
@@ -1,4 +1,4 @@
-/* The host list over HTTP and JSON. */
+/* Reads the platform's host list over HTTP and JSON. */
 #include "table/host_list_client.h"
 
 #include "core/http_client_func.h"
--- a/src/table/host_list_client.h
+++ b/src/table/host_list_client.h
@@ -1,4 +1,4 @@
-/* The platform's list of hosts. */
+/* Reads the platform's list of hosts. */
 #ifndef RHUBARBTRAIL_TABLE_HOST_LIST_CLIENT_H
 #define RHUBARBTRAIL_TABLE_HOST_LIST_CLIENT_H
 
@@ -15,7 +15,8 @@
   Duration timeout = 2s;
 };
 
-/* Reads the host list; returns nothing when there is no whole answer. */
+/* Reads the host list. Returns nothing when the call fails, the status is not 200 or the body is
+ * malformed. */
 std::optional<HostListReceived> ReadHostList(const HostListClientOptions& aOptions);
 
 } // namespace rhubarbtrail
--- a/src/table/table_client.cpp
+++ b/src/table/table_client.cpp
@@ -1,4 +1,4 @@
-/* The table service over HTTP and JSON; docs/INTERFACES.md describes the protocol. */
+/* Calls the table service over HTTP and JSON. docs/INTERFACES.md describes the protocol. */
 #include "table/table_client.h"
 
 #include "codec/json_codec.h"
@@ -37,7 +37,7 @@
   return rows;
 }
 
-/* Returns whether a transaction touches a row. */
+/* Returns whether a transaction has a condition on a row or writes it. */
 bool Names(const TableTransaction& aTransaction, const RowKey& aKey)
 {
   const auto isKey = [&aKey](const auto& aItem) { return aItem.key == aKey; };
@@ -87,7 +87,7 @@
       return Names(aTransaction, aRow.key);
     });
     if (!isOurs) {
-      throw std::invalid_argument("the answer belongs to another call");
+      throw std::invalid_argument("the answer has a row that is not in the transaction");
     }
     result.outcome =
       answer.status == kHttpOk ? TransactionOutcome::kCommitted : TransactionOutcome::kConflict;
--- a/src/table/table_client.h
+++ b/src/table/table_client.h
@@ -1,4 +1,4 @@
-/* The platform's transactional table service. */
+/* Client of the platform's transactional table service. */
 #ifndef RHUBARBTRAIL_TABLE_TABLE_CLIENT_H
 #define RHUBARBTRAIL_TABLE_TABLE_CLIENT_H
 
@@ -15,16 +15,17 @@
   Duration timeout = 2s;
 };
 
-/* Calls the table service; safe to use from several threads. */
+/* Makes blocking calls to the table service. May be used by several threads at once. */
 class TableClient
 {
 public:
   explicit TableClient(TableClientOptions aOptions);
 
-  /* Carries out a transaction. An answer that is lost or late gives kUnknown. */
+  /* Executes a transaction. Without a valid answer within the timeout the outcome is kUnknown. */
   TransactionResult Commit(const TableTransaction& aTransaction) const;
 
-  /* Reads rows; absent ones are given with version 0, in the order asked for. */
+  /* Reads rows. The result is ok only if the service returns a row for each key, in the order of
+   * the keys. A row that does not exist has version 0. */
   ReadResult Read(const TableRead& aRead) const;
 
 private:
