--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -1,4 +1,4 @@
-/* Passes answers on to callers. */
+/* Forwards answers to callers. */
 #include "caller/caller_exchange.h"
 
 #include "caller/error_body.h"
@@ -10,8 +10,8 @@
 
 namespace {
 
-/* Bytes that a slow caller may leave untaken before the session is asked for no more; the session
- * then holds the endpoint back. */
+/* While more bytes than this wait to be sent to a slow caller, no parts are taken from the session.
+ * A session whose stream events are not taken stops reading from the endpoint. */
 constexpr std::size_t kUnsentLimit = 256U << 10U;
 
 } // namespace
@@ -71,7 +71,7 @@
   Pump();
 }
 
-/* Called by any thread. */
+/* Schedules Pump() on the event loop. May be called by any thread. */
 void CallerExchange::PumpSoon()
 {
   if (!mIsPumpPosted.exchange(true)) {
@@ -110,7 +110,7 @@
     return;
   }
   if (aPart.finish->code != ResultCode::kOk) {
-    // No end mark follows, so that the caller cannot take the stream for whole.
+    // The end mark is not sent, so the caller cannot mistake the stream for a complete one.
     mResponder->SendBody(
       "event: error\ndata: " + MakeErrorBody(aPart.finish->code, mSession->id()) + "\n\n");
   }
@@ -118,7 +118,8 @@
   End(aPart.finish->code);
 }
 
-/* The status is sent once the first event has come; a refusal before it keeps its own. */
+/* Forwards the first part of the answer. The header of a stream with its status 200 is sent only
+ * with the first event, so a refusal before that event still has its own status. */
 void CallerExchange::PassFirst(const AnswerPart& aPart)
 {
   const bool isWhole = mSession->call().form == AnswerForm::kWhole || mSession->delivered() == 0;
@@ -173,8 +174,8 @@
   NoteRequestEnd(mContext, mWatch, aCode);
 }
 
-/* A caller that goes cancels its request, but not a whole answer of a request that runs at most
- * once: its outcome is recorded. */
+/* Cancels the request, since the caller has disconnected. A non-streaming request that may run at
+ * most once continues, so that its outcome is recorded. */
 void CallerExchange::OnGone()
 {
   mIsGone = true;
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -1,4 +1,4 @@
-/* One caller's request at the front: it passes the session's answer on as it comes. */
+/* The HTTP exchange of one caller's request: forwards the session's answer to the caller. */
 #ifndef RHUBARBTRAIL_CALLER_CALLER_EXCHANGE_H
 #define RHUBARBTRAIL_CALLER_CALLER_EXCHANGE_H
 
@@ -15,36 +15,37 @@
 
 namespace rhubarbtrail {
 
-/* What all exchanges of a front share. */
+/* State that all exchanges of a server share. */
 struct ExchangeContext
 {
   boost::asio::io_context& loop;
   SessionMap& sessions;
   std::function<void(Event)> post;
-  std::function<void(RequestSample)> finished; ///< Told of each request that has ended.
+  std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
 };
 
-/* What is kept of a request until it ends. */
+/* What the log and the metrics need of a request when it ends. */
 struct ExchangeWatch
 {
   RequestId id;
-  ClassId requestClass; ///< Empty for a request that was refused at the door.
+  ClassId requestClass; ///< Empty for a request that failed CheckRequest().
   std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
 };
 
-/* Logs and measures a request that has ended. */
+/* Logs the result code and the latency of a request that has ended, and reports them to the
+ * metrics. */
 void NoteRequestEnd(const ExchangeContext& aContext, const ExchangeWatch& aWatch, ResultCode aCode);
 
-/* Returns the header fields that every refusal bears. */
+/* Returns the header fields that every refusal has. */
 http::Fields RefusalFields(ResultCode aCode);
 
-/* Answers with a refusal. */
+/* Sends a refusal: the HTTP status of its result code, and a JSON error as the body. */
 void SendRefusal(http::Responder& aResponder,
                  const FinishRequest& aFinish,
                  const std::string& aDetail = {});
 
-/* Owns itself until the request has ended. Used by the loop's thread, but for the session, which
- * others feed. */
+/* The handlers that it sets keep it alive until the request has ended. It runs on the thread of the
+ * event loop, except PumpSoon(), which the session calls from any thread. */
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>
 {
 public:
@@ -53,7 +54,7 @@
                  std::shared_ptr<Session> aSession,
                  std::shared_ptr<http::Responder> aResponder);
 
-  /* Follows the session and the caller from now on. */
+  /* Starts to listen to the session and the caller's connection. */
   void Start();
 
 private:
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -1,4 +1,4 @@
-/* The HTTP front for callers: one event loop for all connections. */
+/* The HTTP server for callers: one event loop serves all connections. */
 #include "caller/caller_server.h"
 
 #include "caller/caller_exchange.h"
@@ -23,12 +23,13 @@
 namespace asio = boost::asio;
 using nlohmann::json;
 
-/* Bytes that the headers of a request may take beside its body. */
+/* Largest size of the header of a request, in bytes. */
 constexpr std::size_t kHeaderLimit = 64U << 10U;
-/* Time for a request to arrive whole, and between two requests on one connection. */
+/* Timeouts for the header and for the body of a request, and for an idle connection. */
 constexpr Duration kRequestTime = 30s;
 constexpr Duration kIdleTime = 60s;
-/* Time that callers get to take the last answers when the daemon stops. */
+/* Time that callers have to receive the last answers when the daemon stops, and the interval of the
+ * check whether they have. */
 constexpr Duration kFarewellTime = 3s;
 constexpr Duration kFarewellCheck = 10ms;
 
@@ -84,7 +85,8 @@
   std::thread thread;
 };
 
-/* Says in the product's own words why a request could not be read. */
+/* Makes the answer to a request that could not be parsed or is too large, in the format of all
+ * other refusals. */
 http::Rejection CallerServer::Impl::Rejection(unsigned aStatus)
 {
   constexpr unsigned kContentTooLarge = 413;
@@ -149,7 +151,7 @@
   context.post(std::move(checked->arrived));
 }
 
-/* Closes all connections once their callers have taken the answers, or at aEnd. */
+/* Closes all connections and stops the event loop once all answers are sent, or at aEnd. */
 void CallerServer::Impl::Leave(std::chrono::steady_clock::time_point aEnd)
 {
   if (server.IsQuiet() || std::chrono::steady_clock::now() >= aEnd) {
@@ -182,7 +184,7 @@
 std::uint16_t CallerServer::Start()
 {
   if (const std::string error = mImpl->server.Listen(); !error.empty()) {
-    Log(log_part::kDaemon)->error("Cannot listen for callers: {}.", error);
+    Log(log_part::kDaemon)->error("Cannot listen for caller connections: {}.", error);
     return 0;
   }
   mImpl->thread = std::thread([this] { mImpl->loop.run(); });
--- a/src/caller/caller_server.h
+++ b/src/caller/caller_server.h
@@ -1,4 +1,4 @@
-/* The HTTP front for callers. */
+/* The HTTP server for callers. */
 #ifndef RHUBARBTRAIL_CALLER_CALLER_SERVER_H
 #define RHUBARBTRAIL_CALLER_CALLER_SERVER_H
 
@@ -17,10 +17,10 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  std::uint32_t connections = 4'096;   ///< Beyond it, connections without a request are closed.
-  std::uint64_t bodyLimit = 1U << 20U; ///< Bytes.
-  std::string requestIdPrefix;         ///< Makes the ids of this process unique.
-  std::function<void(RequestSample)> finished; ///< Told of each request that has ended.
+  std::uint32_t connections = 4'096;           ///< Idle connections are closed beyond it.
+  std::uint64_t bodyLimit = 1U << 20U;         ///< Bytes.
+  std::string requestIdPrefix;                 ///< Makes request ids unique across processes.
+  std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
 };
 
 class CallerServer
@@ -34,10 +34,10 @@
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
 
-  /* Binds and starts to serve; returns the port, or 0 when it cannot be bound. */
+  /* Starts to listen and to serve. Returns the port, or 0 when listening fails. */
   std::uint16_t Start();
 
-  /* Waits for the answers under way, for some seconds at most, and closes all connections. */
+  /* Waits up to 3 s until open requests are answered, then closes all connections. */
   void Stop();
 
 private:
--- a/src/caller/error_body.cpp
+++ b/src/caller/error_body.cpp
@@ -1,4 +1,4 @@
-/* JSON errors. */
+/* Makes the JSON error bodies of refusals. */
 #include "caller/error_body.h"
 
 #include <nlohmann/json.hpp>
--- a/src/caller/error_body.h
+++ b/src/caller/error_body.h
@@ -1,4 +1,4 @@
-/* The JSON error that every refusal carries. */
+/* The JSON error in the body of every refusal. */
 #ifndef RHUBARBTRAIL_CALLER_ERROR_BODY_H
 #define RHUBARBTRAIL_CALLER_ERROR_BODY_H
 
@@ -10,12 +10,13 @@
 
 namespace rhubarbtrail {
 
-/* Returns {"error":{"code":…,"name":…,"execution":…,"message":…,"request_id":…}}. */
+/* Returns {"error":{"code":…,"name":…,"execution":…,"message":…,"request_id":…}}, with "detail"
+ * unless aDetail is empty. */
 std::string MakeErrorBody(ResultCode aCode,
                           const RequestId& aRequest,
                           const std::string& aDetail = {});
 
-/* Returns the Retry-After value in whole seconds, rounded up. */
+/* Returns the value of the Retry-After header: seconds, rounded up. */
 std::string RetryAfterSeconds(Duration aDuration);
 
 } // namespace rhubarbtrail
--- a/src/caller/request_check.cpp
+++ b/src/caller/request_check.cpp
@@ -1,4 +1,4 @@
-/* Checks callers' requests: who asks, for what, by when. */
+/* Checks callers' requests: customer, model or service, request class, deadline and body. */
 #include "caller/request_check.h"
 
 #include "core/digest_func.h"
@@ -14,18 +14,19 @@
 
 using nlohmann::json;
 
-/* Characters of a prompt that identify the prefix which an engine may have cached. */
+/* Bytes at the start of the body that are hashed to recognise requests with the same prompt prefix,
+ * which an engine may have cached. */
 constexpr std::size_t kPrefixLength = 256;
 constexpr std::size_t kKeyLengthLimit = 128;
-/* Longest deadline that a caller may ask for. */
+/* Longest deadline that a caller may set: one day. */
 constexpr std::int64_t kDeadlineLimitMs = 86'400'000;
 constexpr const char* kBearer = "Bearer ";
 constexpr const char* kDefaultClass = "default";
 constexpr std::string_view kServicePrefix = "/services/";
-/* Methods that a call to a plain service may use. */
+/* HTTP methods that are allowed in calls to plain services. */
 constexpr std::array kServiceMethods{ "GET", "POST", "PUT", "PATCH", "DELETE" };
 
-/* A call to a plain service: its name, and the path behind it. */
+/* The parts of the path of a call to a plain service. */
 struct ServicePath
 {
   ServiceId service;
@@ -37,7 +38,7 @@
   return std::string{ http::Find(aRequest.fields, aName).value_or("") };
 }
 
-/* Splits "/services/NAME/PATH"; nothing for other paths. */
+/* Splits "/services/NAME/PATH" into NAME and "/PATH". Returns nothing for other paths. */
 std::optional<ServicePath> SplitServicePath(const std::string& aPath)
 {
   if (!aPath.starts_with(kServicePrefix)) {
@@ -57,7 +58,7 @@
   return tl::make_unexpected(Refusal{ aCode, std::move(aDetail) });
 }
 
-/* Fills in what headers say: class, deadline and idempotency key. */
+/* Reads the request class, the deadline and the idempotency key from the header. */
 tl::expected<void, Refusal> ReadHeaders(const http::Request& aRequest, CheckedRequest& aChecked)
 {
   const std::string deadline = HeaderOf(aRequest, "X-Deadline-Ms");
@@ -67,13 +68,15 @@
       std::from_chars(deadline.data(), deadline.data() + deadline.size(), value);
     const bool isNumber = error == std::errc{} && end == deadline.data() + deadline.size();
     if (!isNumber || value < 1 || value > kDeadlineLimitMs) {
-      return Refuse(ResultCode::kRequestMalformed, "X-Deadline-Ms must be 1 to 86400000");
+      return Refuse(ResultCode::kRequestMalformed,
+                    "X-Deadline-Ms must be a whole number from 1 to 86400000");
     }
     aChecked.arrived.timeLeft = std::chrono::milliseconds{ value };
   }
   const std::string key = HeaderOf(aRequest, "Idempotency-Key");
   if (key.size() > kKeyLengthLimit) {
-    return Refuse(ResultCode::kRequestMalformed, "Idempotency-Key has at most 128 characters");
+    return Refuse(ResultCode::kRequestMalformed,
+                  "Idempotency-Key must not be longer than 128 characters");
   }
   aChecked.arrived.key = IdempotencyKey{ key };
   const std::string requestClass = HeaderOf(aRequest, "X-Request-Class");
@@ -92,7 +95,8 @@
   aChecked.arrived.bytes = aRequest.body.size();
 }
 
-/* Splits "model:adapter" and finds both in the configuration. */
+/* Splits "model" or "model:adapter" and looks up its parts in the configuration. A model that the
+ * customer may not use counts as unknown. */
 tl::expected<Artifact, Refusal> FindArtifact(const Configuration& aConfiguration,
                                              const CustomerSpec& aCustomer,
                                              const std::string& aName)
@@ -108,7 +112,7 @@
   if (colon != std::string::npos) {
     artifact.adapter = AdapterId{ aName.substr(colon + 1) };
     if (!model->second.adapters.contains(artifact.adapter)) {
-      return Refuse(ResultCode::kModelUnknown, "the model has no such adapter");
+      return Refuse(ResultCode::kModelUnknown, "the model has no adapter of this name");
     }
   }
   return artifact;
@@ -121,13 +125,13 @@
     return Refuse(ResultCode::kRequestMalformed, "the body is not a JSON object");
   }
   if (!body.contains("model") || !body["model"].is_string()) {
-    return Refuse(ResultCode::kRequestMalformed, "model must be a text");
+    return Refuse(ResultCode::kRequestMalformed, "model must be a string");
   }
   if (body.contains("stream") && !body["stream"].is_boolean()) {
     return Refuse(ResultCode::kRequestMalformed, "stream must be true or false");
   }
   if (body.contains("max_tokens") && !body["max_tokens"].is_number_unsigned()) {
-    return Refuse(ResultCode::kRequestMalformed, "max_tokens must be a whole number");
+    return Refuse(ResultCode::kRequestMalformed, "max_tokens must be a non-negative whole number");
   }
   return body;
 }
@@ -156,7 +160,8 @@
   }
   const auto requestClass = configuration.classes.find(checked.arrived.requestClass);
   if (requestClass == configuration.classes.end()) {
-    return Refuse(ResultCode::kRequestMalformed, "X-Request-Class names no declared class");
+    return Refuse(ResultCode::kRequestMalformed,
+                  "X-Request-Class must name a configured request class");
   }
   checked.arrived.customer = *customerId;
   checked.arrived.artifact = *artifact;
@@ -172,7 +177,7 @@
   return checked;
 }
 
-/* Headers that a call to a plain service keeps. */
+/* Header fields that are forwarded to a plain service, besides Content-Type. */
 constexpr std::array kPassedHeaders{ "Accept", "Accept-Language", "Idempotency-Key" };
 
 CheckResult CheckServiceCall(const Snapshot& aSnapshot,
@@ -205,7 +210,7 @@
            path.starts_with(aRoute.pathPrefix);
   });
   if (route == routes.end()) {
-    return Refuse(ResultCode::kServiceUnknown, "the service declares no such route");
+    return Refuse(ResultCode::kServiceUnknown, "the service has no route for this method and path");
   }
   checked.arrived.requestClass = route->requestClass;
   checked.arrived.customer = *customerId;
@@ -246,7 +251,7 @@
 
 std::string PathOf(const http::Request& aRequest)
 {
-  // Rules for paths are compared without escapes, so that no spelling gets around them.
+  // Routes are matched against the decoded path, so that percent-encoding does not evade them.
   return httplib::detail::decode_url(aRequest.target.substr(0, aRequest.target.find('?')), false);
 }
 
--- a/src/caller/request_check.h
+++ b/src/caller/request_check.h
@@ -1,4 +1,4 @@
-/* Checks callers' requests against the snapshot, before anything is decided about them. */
+/* Checks callers' requests against the snapshot, before the decision code receives them. */
 #ifndef RHUBARBTRAIL_CALLER_REQUEST_CHECK_H
 #define RHUBARBTRAIL_CALLER_REQUEST_CHECK_H
 
@@ -12,31 +12,31 @@
 
 namespace rhubarbtrail {
 
-/* A request that was checked as far as the snapshot allows. */
+/* A valid request: the event for the decision code, and the call to be made at an endpoint. */
 struct CheckedRequest
 {
   RequestArrived arrived;
   EndpointCall call;
 };
 
-/* A refusal at the door. */
+/* Why a request is refused without reaching the decision code. */
 struct Refusal
 {
   ResultCode code = ResultCode::kRequestMalformed;
-  std::string detail;
+  std::string detail; ///< Addition to the message of the code for the caller; may be empty.
 };
 
 using CheckResult = tl::expected<CheckedRequest, Refusal>;
 
-/* Finds the customer by the key that the request bears. */
+/* Finds the customer by the API key of a request. Fails with kKeyMissing or kKeyWrong. */
 tl::expected<CustomerId, Refusal> Authenticate(const Snapshot& aSnapshot,
                                                const http::Request& aRequest);
 
-/* Returns the path that a request names, without its query and escapes. */
+/* Returns the path of a request without its query, percent-decoded. */
 std::string PathOf(const http::Request& aRequest);
 
-/* Checks any request that is passed on, whose path is given: a completion, or a call to a plain
- * service. */
+/* Checks a completion request or a call to a plain service. aPath is the result of PathOf(). Other
+ * requests fail with kServiceUnknown. */
 CheckResult CheckRequest(const Snapshot& aSnapshot,
                          const http::Request& aRequest,
                          const std::string& aPath);
--- a/src/caller/session.cpp
+++ b/src/caller/session.cpp
@@ -1,4 +1,4 @@
-/* The meeting point of a caller, its attempts and the decisions. */
+/* The state that a caller's connection, its attempts and the decision code share. */
 #include "caller/session.h"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace {
 
-/* Bytes of a stream that may wait for a slow caller; beyond it the endpoint is read no further. */
+/* While this many bytes of a stream, or more, wait to be taken for a slow caller, PushEvent()
+ * blocks, and no more is read from the endpoint. */
 constexpr std::size_t kUntakenLimit = 256U << 10U;
 
 } // namespace
@@ -148,7 +149,7 @@
   AnswerPart part;
   {
     const std::lock_guard lock(mMutex);
-    // A whole answer is held until its outcome is known; only events are counted as delivered.
+    // Only stream events count as delivered, so a non-streaming answer is held until Finish().
     if (!mFinish && (mDelivered == 0 || mParts.empty())) {
       return std::nullopt;
     }
--- a/src/caller/session.h
+++ b/src/caller/session.h
@@ -1,4 +1,4 @@
-/* One caller's request while it is open: what was read of it, and the answer as it comes. */
+/* An open request of a caller: the call to be made, and the answer received so far. */
 #ifndef RHUBARBTRAIL_CALLER_SESSION_H
 #define RHUBARBTRAIL_CALLER_SESSION_H
 
@@ -34,14 +34,15 @@
   Repeatability repeatability = Repeatability::kIdempotent;
 };
 
-/* A part of the answer that is ready to be passed on. */
+/* A part of the answer that is ready to be forwarded to the caller. */
 struct AnswerPart
 {
   std::string data;
   std::optional<FinishRequest> finish; ///< Set on the last part.
 };
 
-/* Joins the caller's thread, the thread of the attempt and the decisions. */
+/* Connects the thread of the caller's connection, the threads of the attempts and the decision
+ * code. Safe for use by several threads, except status() and contentType(). */
 class Session
 {
 public:
@@ -50,41 +51,45 @@
   const RequestId& id() const { return mId; }
   const EndpointCall& call() const { return mCall; }
 
-  /* Starts an attempt: only its parts are taken from now on. Returns false when the attempt was
-   * stopped or the request has ended. */
+  /* Makes an attempt the current one. Data of other attempts is rejected from now on. Returns false
+   * when the attempt was stopped or the request has ended. */
   bool BeginAttempt(AttemptNumber aAttempt);
 
-  /* Passes on stream event number aIndex, counted from 0, and waits while a slow caller has too
-   * much to take. Events that the caller already has are dropped. Returns false when the attempt
-   * is no longer wanted or an event is missing. */
+  /* Adds the stream event with the index aIndex, counted from 0. Blocks while too many bytes wait
+   * for a slow caller. An event that an earlier attempt has already added is dropped. Returns false
+   * when the attempt is not active, or when aIndex skips an event. */
   bool PushEvent(AttemptNumber aAttempt, std::uint32_t aIndex, std::string aData);
 
-  /* Passes on a whole answer. Returns false when the attempt is not the current one. */
+  /* Adds a complete non-streaming answer. Returns false when the attempt is not active. */
   bool PushWhole(AttemptNumber aAttempt, int aStatus, std::string aContentType, std::string aBody);
 
-  /* Returns how many stream events the caller has or will get. */
+  /* Returns the number of stream events that were accepted for the caller. */
   std::uint32_t delivered() const;
 
-  /* Ends the request with its final outcome. */
+  /* Ends the request with its final outcome. Later calls have no effect. */
   void Finish(FinishRequest aFinish);
 
-  /* The caller has gone. A request that must not be repeated runs to its end, so that its outcome
-   * can be recorded; any other one ends now. */
+  /* Discards the answer received so far, since the caller has disconnected. A request that may run
+   * at most once continues, so that its outcome can be recorded. Any other request ends now. */
   void Abandon();
 
-  /* Stops the current attempt; the canceller closes its connection. */
+  /* Stops an attempt and all earlier ones, also if it has not begun yet. Calls the canceller when
+   * the attempt is the current one. */
   void StopAttempt(AttemptNumber aAttempt);
-  /* Returns false when the attempt is no longer wanted. */
+  /* Sets the function that closes the attempt's connection. Returns false when the attempt is not
+   * active. */
   bool SetCanceller(AttemptNumber aAttempt, std::function<void()> aCanceller);
-  /* Returns whether the attempt is the current one and was not stopped. */
+  /* Returns whether the attempt is active: it is the current one, it was not stopped, and the
+   * request has not ended. */
   bool IsWanted(AttemptNumber aAttempt) const;
 
-  /* Returns the next part of the answer; nothing while there is none. */
+  /* Removes and returns all data that can be forwarded now, or nothing if there is none. */
   std::optional<AnswerPart> TakePart();
-  /* Sets whom to tell, on any thread, that there may be a part to take; null: nobody. */
+  /* Sets the function that is called, on any thread, when TakePart() may return a part. Null
+   * removes it. */
   void SetListener(std::function<void()> aListener);
 
-  /* The status and type of a whole answer; valid after the last part was taken. */
+  /* HTTP status and content type of a non-streaming answer. Valid once its last part was taken. */
   int status() const { return mStatus; }
   const std::string& contentType() const { return mContentType; }
 
@@ -98,14 +103,14 @@
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   AttemptNumber mAttempt;
-  std::uint32_t mDelivered = 0;
+  std::uint32_t mDelivered = 0; ///< Accepted stream events, of all attempts together.
   std::deque<std::string> mParts;
   std::size_t mUntakenBytes = 0; ///< Size of the stream events in mParts.
   std::optional<FinishRequest> mFinish;
   bool mIsAbandoned = false;
   std::function<void()> mCanceller;
   std::function<void()> mListener;
-  AttemptNumber mStopped;
+  AttemptNumber mStopped; ///< This attempt and all earlier ones are stopped.
   int mStatus = 200;
   std::string mContentType = "application/json";
 };
--- a/src/caller/snapshot_type.h
+++ b/src/caller/snapshot_type.h
@@ -1,4 +1,5 @@
-/* What request threads read without locks: the configuration, indexed for authentication. */
+/* What request threads read without locks: the configuration, an index of its API keys, and the
+ * readiness of the daemon. */
 #ifndef RHUBARBTRAIL_CALLER_SNAPSHOT_TYPE_H
 #define RHUBARBTRAIL_CALLER_SNAPSHOT_TYPE_H
 
@@ -13,6 +14,7 @@
 struct Snapshot
 {
   std::shared_ptr<const Configuration> configuration = std::make_shared<Configuration>();
+  /* The customers by the SHA-256 of their API key, in hex. */
   std::unordered_map<std::string, CustomerId> customersByKeyHash;
   Readiness readiness = Readiness::kStarting;
 };
