--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -12,23 +12,25 @@
 
 /* While more bytes than this wait to be sent to a slow caller, no parts are taken from the session.
  * A session whose stream events are not taken stops reading from the endpoint. */
-constexpr std::size_t kUnsentLimit = 256U << 10U;
+constexpr std::size_t kUnsentBytesLimit = 256U << 10U;
 
 } // namespace
 
-void NoteRequestEnd(const ExchangeContext& aContext, const ExchangeWatch& aWatch, ResultCode aCode)
+void RecordRequestEnd(const ExchangeContext& aContext,
+                      const RequestRecord& aRecord,
+                      ResultCode aCode)
 {
   const auto latency =
-    std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - aWatch.started);
+    std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - aRecord.startedAt);
   Log(log_part::kRouter)
     ->debug("Request {} of class '{}' ended with {} {} after {} us.",
-            aWatch.id.str(),
-            aWatch.requestClass.str(),
+            aRecord.id.str(),
+            aRecord.requestClass.str(),
             static_cast<int>(aCode),
             Describe(aCode).name,
             latency.count());
   if (aContext.finished) {
-    aContext.finished({ .code = aCode, .requestClass = aWatch.requestClass, .latency = latency });
+    aContext.finished({ .code = aCode, .requestClass = aRecord.requestClass, .latency = latency });
   }
 }
 
@@ -53,11 +55,11 @@
 }
 
 CallerExchange::CallerExchange(ExchangeContext& aContext,
-                               ExchangeWatch aWatch,
+                               RequestRecord aRecord,
                                std::shared_ptr<Session> aSession,
                                std::shared_ptr<http::Responder> aResponder)
   : mContext(aContext)
-  , mWatch(std::move(aWatch))
+  , mRecord(std::move(aRecord))
   , mSession(std::move(aSession))
   , mResponder(std::move(aResponder))
 {
@@ -66,43 +68,43 @@
 void CallerExchange::Start()
 {
   mResponder->OnGone([self = shared_from_this()] { self->OnGone(); });
-  mResponder->OnDrained([self = shared_from_this()] { self->Pump(); });
-  mSession->SetListener([self = shared_from_this()] { self->PumpSoon(); });
-  Pump();
+  mResponder->OnDrained([self = shared_from_this()] { self->ForwardAvailableParts(); });
+  mSession->SetListener([self = shared_from_this()] { self->ScheduleForwarding(); });
+  ForwardAvailableParts();
 }
 
-/* Schedules Pump() on the event loop. May be called by any thread. */
-void CallerExchange::PumpSoon()
+/* Schedules ForwardAvailableParts() on the event loop. May be called by any thread. */
+void CallerExchange::ScheduleForwarding()
 {
-  if (!mIsPumpPosted.exchange(true)) {
+  if (!mIsForwardingScheduled.exchange(true)) {
     boost::asio::post(mContext.loop, [self = shared_from_this()] {
-      self->mIsPumpPosted = false;
-      self->Pump();
+      self->mIsForwardingScheduled = false;
+      self->ForwardAvailableParts();
     });
   }
 }
 
-void CallerExchange::Pump()
+void CallerExchange::ForwardAvailableParts()
 {
-  while (!mIsEnded && mResponder->unsentBytes() <= kUnsentLimit) {
+  while (!mIsEnded && mResponder->unsentBytes() <= kUnsentBytesLimit) {
     const auto part = mSession->TakePart();
     if (!part) {
       return;
     }
-    Pass(*part);
+    ForwardPart(*part);
   }
 }
 
-void CallerExchange::Pass(const AnswerPart& aPart)
+void CallerExchange::ForwardPart(const AnswerPart& aPart)
 {
-  if (mIsGone) {
+  if (mIsCallerDisconnected) {
     if (aPart.finish) {
       End(aPart.finish->code);
     }
     return;
   }
   if (!mIsHeadSent) {
-    PassFirst(aPart);
+    ForwardFirstPart(aPart);
     return;
   }
   mResponder->SendBody(aPart.data);
@@ -120,26 +122,28 @@
 
 /* Forwards the first part of the answer. The header of a stream with its status 200 is sent only
  * with the first event, so a refusal before that event still has its own status. */
-void CallerExchange::PassFirst(const AnswerPart& aPart)
+void CallerExchange::ForwardFirstPart(const AnswerPart& aPart)
 {
-  const bool isWhole = mSession->call().form == AnswerForm::kWhole || mSession->delivered() == 0;
-  if (aPart.finish && aPart.finish->code != ResultCode::kOk && (isWhole || aPart.data.empty())) {
+  const bool isBuffered =
+    mSession->call().form == AnswerForm::kBuffered || mSession->delivered() == 0;
+  if (aPart.finish && aPart.finish->code != ResultCode::kOk && (isBuffered || aPart.data.empty())) {
     SendRefusal(*mResponder, *aPart.finish);
     End(aPart.finish->code);
     return;
   }
-  if (aPart.finish && isWhole) {
+  if (aPart.finish && isBuffered) {
     const FinishRequest& finish = *aPart.finish;
     if (finish.httpStatus != 0) {
-      SendWhole({ .status = static_cast<unsigned>(finish.httpStatus),
-                  .reason = "Answered",
-                  .fields = { { "Idempotent-Replay", "true" } } },
-                finish.contentType,
-                finish.storedAnswer);
+      SendBufferedAnswer({ .status = static_cast<unsigned>(finish.httpStatus),
+                           .reason = "Answered",
+                           .fields = { { "Idempotent-Replay", "true" } } },
+                         finish.contentType,
+                         finish.storedAnswer);
     } else {
-      SendWhole({ .status = static_cast<unsigned>(mSession->status()), .reason = "Answered" },
-                mSession->contentType(),
-                aPart.data);
+      SendBufferedAnswer(
+        { .status = static_cast<unsigned>(mSession->status()), .reason = "Answered" },
+        mSession->contentType(),
+        aPart.data);
     }
     End(finish.code);
     return;
@@ -148,16 +152,16 @@
   mResponder->SendHead(
     { .status = 200,
       .reason = "OK",
-      .fields = { { "X-Request-Id", mWatch.id.str() }, { "Content-Type", "text/event-stream" } },
+      .fields = { { "X-Request-Id", mRecord.id.str() }, { "Content-Type", "text/event-stream" } },
       .framing = http::Framing::kChunked });
-  Pass(aPart);
+  ForwardPart(aPart);
 }
 
-void CallerExchange::SendWhole(http::AnswerHead aHead,
-                               const std::string& aType,
-                               const std::string& aBody)
+void CallerExchange::SendBufferedAnswer(http::AnswerHead aHead,
+                                        const std::string& aType,
+                                        const std::string& aBody)
 {
-  aHead.fields.push_back({ "X-Request-Id", mWatch.id.str() });
+  aHead.fields.push_back({ "X-Request-Id", mRecord.id.str() });
   if (!aType.empty()) {
     aHead.fields.push_back({ "Content-Type", aType });
   }
@@ -171,21 +175,21 @@
   mResponder->OnDrained(nullptr);
   mSession->SetListener(nullptr);
   mContext.sessions.Remove(mSession->id());
-  NoteRequestEnd(mContext, mWatch, aCode);
+  RecordRequestEnd(mContext, mRecord, aCode);
 }
 
 /* Cancels the request, since the caller has disconnected. A non-streaming request that may run at
  * most once continues, so that its outcome is recorded. */
 void CallerExchange::OnGone()
 {
-  mIsGone = true;
-  const bool isKept = mSession->call().form == AnswerForm::kWhole &&
-                      mSession->call().repeatability == Repeatability::kAtMostOnce;
-  if (!isKept) {
-    mContext.post(RequestCancelled{ mSession->id() });
+  mIsCallerDisconnected = true;
+  const bool mustContinue = mSession->call().form == AnswerForm::kBuffered &&
+                            mSession->call().repeatability == Repeatability::kAtMostOnce;
+  if (!mustContinue) {
+    mContext.postEvent(RequestCancelled{ mSession->id() });
     mSession->Abandon();
   }
-  PumpSoon();
+  ScheduleForwarding();
 }
 
 } // namespace rhubarbtrail
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -20,21 +20,23 @@
 {
   boost::asio::io_context& loop;
   SessionMap& sessions;
-  std::function<void(Event)> post;
+  std::function<void(Event)> postEvent;
   std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
 };
 
 /* What the log and the metrics need of a request when it ends. */
-struct ExchangeWatch
+struct RequestRecord
 {
   RequestId id;
   ClassId requestClass; ///< Empty for a request that failed CheckRequest().
-  std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point startedAt = std::chrono::steady_clock::now();
 };
 
 /* Logs the result code and the latency of a request that has ended, and reports them to the
  * metrics. */
-void NoteRequestEnd(const ExchangeContext& aContext, const ExchangeWatch& aWatch, ResultCode aCode);
+void RecordRequestEnd(const ExchangeContext& aContext,
+                      const RequestRecord& aRecord,
+                      ResultCode aCode);
 
 /* Returns the header fields that every refusal has. */
 http::Fields RefusalFields(ResultCode aCode);
@@ -45,12 +47,12 @@
                  const std::string& aDetail = {});
 
 /* The handlers that it sets keep it alive until the request has ended. It runs on the thread of the
- * event loop, except PumpSoon(), which the session calls from any thread. */
+ * event loop, except ScheduleForwarding(), which the session calls from any thread. */
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>
 {
 public:
   CallerExchange(ExchangeContext& aContext,
-                 ExchangeWatch aWatch,
+                 RequestRecord aRecord,
                  std::shared_ptr<Session> aSession,
                  std::shared_ptr<http::Responder> aResponder);
 
@@ -58,21 +60,23 @@
   void Start();
 
 private:
-  void PumpSoon();
-  void Pump();
-  void Pass(const AnswerPart& aPart);
-  void PassFirst(const AnswerPart& aPart);
-  void SendWhole(http::AnswerHead aHead, const std::string& aType, const std::string& aBody);
+  void ScheduleForwarding();
+  void ForwardAvailableParts();
+  void ForwardPart(const AnswerPart& aPart);
+  void ForwardFirstPart(const AnswerPart& aPart);
+  void SendBufferedAnswer(http::AnswerHead aHead,
+                          const std::string& aType,
+                          const std::string& aBody);
   void End(ResultCode aCode);
   void OnGone();
 
   ExchangeContext& mContext;
-  ExchangeWatch mWatch;
+  RequestRecord mRecord;
   std::shared_ptr<Session> mSession;
   std::shared_ptr<http::Responder> mResponder;
-  std::atomic<bool> mIsPumpPosted{ false };
+  std::atomic<bool> mIsForwardingScheduled{ false };
   bool mIsHeadSent = false;
-  bool mIsGone = false;
+  bool mIsCallerDisconnected = false;
   bool mIsEnded = false;
 };
 
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -26,12 +26,12 @@
 /* Largest size of the header of a request, in bytes. */
 constexpr std::size_t kHeaderLimit = 64U << 10U;
 /* Timeouts for the header and for the body of a request, and for an idle connection. */
-constexpr Duration kRequestTime = 30s;
-constexpr Duration kIdleTime = 60s;
+constexpr Duration kRequestTimeout = 30s;
+constexpr Duration kIdleTimeout = 60s;
 /* Time that callers have to receive the last answers when the daemon stops, and the interval of the
  * check whether they have. */
-constexpr Duration kFarewellTime = 3s;
-constexpr Duration kFarewellCheck = 10ms;
+constexpr Duration kDrainTimeout = 3s;
+constexpr Duration kDrainCheckInterval = 10ms;
 
 } // namespace
 
@@ -45,7 +45,7 @@
     , snapshot(aSnapshot)
     , context{ .loop = loop,
                .sessions = aSessions,
-               .post = std::move(aPost),
+               .postEvent = std::move(aPost),
                .finished = options.finished }
     , server(loop,
              { .address = options.address + ":" + std::to_string(options.port),
@@ -54,34 +54,34 @@
              [this](const http::Request& aRequest, std::shared_ptr<http::Responder> aResponder) {
                Serve(aRequest, std::move(aResponder));
              })
-    , farewellTimer(loop)
+    , drainTimer(loop)
   {
     server.SetLimits({ .headerBytes = kHeaderLimit,
                        .bodyBytes = options.bodyLimit,
-                       .headerTime = kRequestTime,
-                       .bodyTime = kRequestTime,
-                       .idleTime = kIdleTime });
+                       .headerTime = kRequestTimeout,
+                       .bodyTime = kRequestTimeout,
+                       .idleTime = kIdleTimeout });
   }
 
   RequestId NextRequestId()
   {
     return RequestId{ options.requestIdPrefix + "-" +
-                      std::to_string(nextNumber.fetch_add(1, std::memory_order_relaxed)) };
+                      std::to_string(nextRequestNumber.fetch_add(1, std::memory_order_relaxed)) };
   }
 
   http::Rejection Rejection(unsigned aStatus);
   void Serve(const http::Request& aRequest, std::shared_ptr<http::Responder> aResponder);
   void ListModels(const http::Request& aRequest, http::Responder& aResponder);
-  void Leave(std::chrono::steady_clock::time_point aEnd);
+  void CloseWhenDrained(std::chrono::steady_clock::time_point aDeadline);
 
   CallerServerOptions options;
   const RcuPointer<Snapshot>& snapshot;
   asio::io_context loop{ 1 };
-  asio::executor_work_guard<asio::io_context::executor_type> work{ loop.get_executor() };
+  asio::executor_work_guard<asio::io_context::executor_type> workGuard{ loop.get_executor() };
   ExchangeContext context;
-  std::atomic<std::uint64_t> nextNumber{ 1 };
+  std::atomic<std::uint64_t> nextRequestNumber{ 1 };
   http::Server server;
-  asio::steady_timer farewellTimer;
+  asio::steady_timer drainTimer;
   std::thread thread;
 };
 
@@ -127,43 +127,43 @@
 void CallerServer::Impl::Serve(const http::Request& aRequest,
                                std::shared_ptr<http::Responder> aResponder)
 {
-  const std::string path = PathOf(aRequest);
+  const std::string path = DecodePath(aRequest);
   if (aRequest.method == "GET" && path == "/v1/models") {
     ListModels(aRequest, *aResponder);
     return;
   }
-  ExchangeWatch watch{ .id = NextRequestId(), .requestClass = {} };
+  RequestRecord record{ .id = NextRequestId(), .requestClass = {} };
   CheckResult checked = snapshot.Read(
     [&](const Snapshot& aSnapshot) { return CheckRequest(aSnapshot, aRequest, path); });
   if (!checked) {
     SendRefusal(
-      *aResponder, { .request = watch.id, .code = checked.error().code }, checked.error().detail);
-    NoteRequestEnd(context, watch, checked.error().code);
+      *aResponder, { .request = record.id, .code = checked.error().code }, checked.error().detail);
+    RecordRequestEnd(context, record, checked.error().code);
     return;
   }
-  auto session = std::make_shared<Session>(watch.id, std::move(checked->call));
+  auto session = std::make_shared<Session>(record.id, std::move(checked->call));
   context.sessions.Add(session);
-  checked->arrived.request = watch.id;
-  watch.requestClass = checked->arrived.requestClass;
+  checked->arrivedEvent.request = record.id;
+  record.requestClass = checked->arrivedEvent.requestClass;
   const auto exchange = std::make_shared<CallerExchange>(
-    context, std::move(watch), std::move(session), std::move(aResponder));
+    context, std::move(record), std::move(session), std::move(aResponder));
   exchange->Start();
-  context.post(std::move(checked->arrived));
+  context.postEvent(std::move(checked->arrivedEvent));
 }
 
-/* Closes all connections and stops the event loop once all answers are sent, or at aEnd. */
-void CallerServer::Impl::Leave(std::chrono::steady_clock::time_point aEnd)
+/* Closes all connections and stops the event loop once all answers are sent, or at aDeadline. */
+void CallerServer::Impl::CloseWhenDrained(std::chrono::steady_clock::time_point aDeadline)
 {
-  if (server.IsQuiet() || std::chrono::steady_clock::now() >= aEnd) {
+  if (server.IsQuiet() || std::chrono::steady_clock::now() >= aDeadline) {
     server.Close();
-    work.reset();
+    workGuard.reset();
     loop.stop();
     return;
   }
-  farewellTimer.expires_after(kFarewellCheck);
-  farewellTimer.async_wait([this, aEnd](boost::system::error_code aError) {
+  drainTimer.expires_after(kDrainCheckInterval);
+  drainTimer.async_wait([this, aDeadline](boost::system::error_code aError) {
     if (!aError) {
-      Leave(aEnd);
+      CloseWhenDrained(aDeadline);
     }
   });
 }
@@ -198,7 +198,7 @@
   }
   asio::post(mImpl->loop, [this] {
     mImpl->server.Drain();
-    mImpl->Leave(std::chrono::steady_clock::now() + kFarewellTime);
+    mImpl->CloseWhenDrained(std::chrono::steady_clock::now() + kDrainTimeout);
   });
   mImpl->thread.join();
 }
--- a/src/caller/request_check.cpp
+++ b/src/caller/request_check.cpp
@@ -16,13 +16,13 @@
 
 /* Bytes at the start of the body that are hashed to recognise requests with the same prompt prefix,
  * which an engine may have cached. */
-constexpr std::size_t kPrefixLength = 256;
-constexpr std::size_t kKeyLengthLimit = 128;
+constexpr std::size_t kPromptPrefixLength = 256;
+constexpr std::size_t kIdempotencyKeyLengthLimit = 128;
 /* Longest deadline that a caller may set: one day. */
 constexpr std::int64_t kDeadlineLimitMs = 86'400'000;
-constexpr const char* kBearer = "Bearer ";
+constexpr const char* kBearerPrefix = "Bearer ";
 constexpr const char* kDefaultClass = "default";
-constexpr std::string_view kServicePrefix = "/services/";
+constexpr std::string_view kServicePathPrefix = "/services/";
 /* HTTP methods that are allowed in calls to plain services. */
 constexpr std::array kServiceMethods{ "GET", "POST", "PUT", "PATCH", "DELETE" };
 
@@ -30,10 +30,10 @@
 struct ServicePath
 {
   ServiceId service;
-  std::string rest;
+  std::string subpath;
 };
 
-std::string HeaderOf(const http::Request& aRequest, std::string_view aName)
+std::string HeaderValue(const http::Request& aRequest, std::string_view aName)
 {
   return std::string{ http::Find(aRequest.fields, aName).value_or("") };
 }
@@ -41,16 +41,16 @@
 /* Splits "/services/NAME/PATH" into NAME and "/PATH". Returns nothing for other paths. */
 std::optional<ServicePath> SplitServicePath(const std::string& aPath)
 {
-  if (!aPath.starts_with(kServicePrefix)) {
+  if (!aPath.starts_with(kServicePathPrefix)) {
     return std::nullopt;
   }
-  const auto slash = aPath.find('/', kServicePrefix.size());
-  if (slash == std::string::npos || slash == kServicePrefix.size()) {
+  const auto slash = aPath.find('/', kServicePathPrefix.size());
+  if (slash == std::string::npos || slash == kServicePathPrefix.size()) {
     return std::nullopt;
   }
-  return ServicePath{ .service = ServiceId{ aPath.substr(kServicePrefix.size(),
-                                                         slash - kServicePrefix.size()) },
-                      .rest = aPath.substr(slash) };
+  return ServicePath{ .service = ServiceId{ aPath.substr(kServicePathPrefix.size(),
+                                                         slash - kServicePathPrefix.size()) },
+                      .subpath = aPath.substr(slash) };
 }
 
 tl::unexpected<Refusal> Refuse(ResultCode aCode, std::string aDetail = {})
@@ -59,9 +59,10 @@
 }
 
 /* Reads the request class, the deadline and the idempotency key from the header. */
-tl::expected<void, Refusal> ReadHeaders(const http::Request& aRequest, CheckedRequest& aChecked)
+tl::expected<void, Refusal> ReadRequestFields(const http::Request& aRequest,
+                                              CheckedRequest& aChecked)
 {
-  const std::string deadline = HeaderOf(aRequest, "X-Deadline-Ms");
+  const std::string deadline = HeaderValue(aRequest, "X-Deadline-Ms");
   if (!deadline.empty()) {
     std::int64_t value = 0;
     const auto [end, error] =
@@ -71,28 +72,29 @@
       return Refuse(ResultCode::kRequestMalformed,
                     "X-Deadline-Ms must be a whole number from 1 to 86400000");
     }
-    aChecked.arrived.timeLeft = std::chrono::milliseconds{ value };
+    aChecked.arrivedEvent.timeLeft = std::chrono::milliseconds{ value };
   }
-  const std::string key = HeaderOf(aRequest, "Idempotency-Key");
-  if (key.size() > kKeyLengthLimit) {
+  const std::string key = HeaderValue(aRequest, "Idempotency-Key");
+  if (key.size() > kIdempotencyKeyLengthLimit) {
     return Refuse(ResultCode::kRequestMalformed,
                   "Idempotency-Key must not be longer than 128 characters");
   }
-  aChecked.arrived.key = IdempotencyKey{ key };
-  const std::string requestClass = HeaderOf(aRequest, "X-Request-Class");
-  aChecked.arrived.requestClass = ClassId{ requestClass.empty() ? kDefaultClass : requestClass };
+  aChecked.arrivedEvent.key = IdempotencyKey{ key };
+  const std::string requestClass = HeaderValue(aRequest, "X-Request-Class");
+  aChecked.arrivedEvent.requestClass =
+    ClassId{ requestClass.empty() ? kDefaultClass : requestClass };
   return {};
 }
 
-void ReadFingerprint(const http::Request& aRequest,
-                     const std::string& aPath,
-                     CheckedRequest& aChecked)
+void SetBodyProperties(const http::Request& aRequest,
+                       const std::string& aPath,
+                       CheckedRequest& aChecked)
 {
-  aChecked.arrived.fingerprint =
+  aChecked.arrivedEvent.fingerprint =
     FingerprintId{ Sha256Hex(aRequest.method + " " + aPath + "\n" + aRequest.body) };
-  aChecked.arrived.prefixHash =
-    std::hash<std::string_view>{}(std::string_view{ aRequest.body }.substr(0, kPrefixLength));
-  aChecked.arrived.bytes = aRequest.body.size();
+  aChecked.arrivedEvent.prefixHash =
+    std::hash<std::string_view>{}(std::string_view{ aRequest.body }.substr(0, kPromptPrefixLength));
+  aChecked.arrivedEvent.bytes = aRequest.body.size();
 }
 
 /* Splits "model" or "model:adapter" and looks up its parts in the configuration. A model that the
@@ -155,35 +157,36 @@
     return tl::make_unexpected(artifact.error());
   }
   CheckedRequest checked;
-  if (const auto headers = ReadHeaders(aRequest, checked); !headers) {
+  if (const auto headers = ReadRequestFields(aRequest, checked); !headers) {
     return tl::make_unexpected(headers.error());
   }
-  const auto requestClass = configuration.classes.find(checked.arrived.requestClass);
+  const auto requestClass = configuration.classes.find(checked.arrivedEvent.requestClass);
   if (requestClass == configuration.classes.end()) {
     return Refuse(ResultCode::kRequestMalformed,
                   "X-Request-Class must name a configured request class");
   }
-  checked.arrived.customer = *customerId;
-  checked.arrived.artifact = *artifact;
-  checked.arrived.service = configuration.models.at(artifact->model).service;
-  ReadFingerprint(aRequest, aPath, checked);
+  checked.arrivedEvent.customer = *customerId;
+  checked.arrivedEvent.artifact = *artifact;
+  checked.arrivedEvent.service = configuration.models.at(artifact->model).service;
+  SetBodyProperties(aRequest, aPath, checked);
   checked.call = { .method = "POST",
                    .path = aPath,
                    .contentType = "application/json",
                    .body = aRequest.body,
                    .headers = {},
-                   .form = body->value("stream", false) ? AnswerForm::kStream : AnswerForm::kWhole,
+                   .form =
+                     body->value("stream", false) ? AnswerForm::kStream : AnswerForm::kBuffered,
                    .repeatability = requestClass->second.repeatability };
   return checked;
 }
 
 /* Header fields that are forwarded to a plain service, besides Content-Type. */
-constexpr std::array kPassedHeaders{ "Accept", "Accept-Language", "Idempotency-Key" };
+constexpr std::array kForwardedFields{ "Accept", "Accept-Language", "Idempotency-Key" };
 
 CheckResult CheckServiceCall(const Snapshot& aSnapshot,
                              const http::Request& aRequest,
                              const std::string& aPath,
-                             const ServicePath& aParts)
+                             const ServicePath& aServicePath)
 {
   const auto customerId = Authenticate(aSnapshot, aRequest);
   if (!customerId) {
@@ -191,7 +194,7 @@
   }
   const Configuration& configuration = *aSnapshot.configuration;
   const CustomerSpec& customer = configuration.customers.at(*customerId);
-  const ServiceId& serviceId = aParts.service;
+  const ServiceId& serviceId = aServicePath.service;
   const auto service = configuration.services.find(serviceId);
   const bool isKnown = service != configuration.services.end() &&
                        service->second.kind == ServiceKind::kPlain &&
@@ -200,10 +203,10 @@
     return Refuse(ResultCode::kServiceUnknown);
   }
   CheckedRequest checked;
-  if (const auto headers = ReadHeaders(aRequest, checked); !headers) {
+  if (const auto headers = ReadRequestFields(aRequest, checked); !headers) {
     return tl::make_unexpected(headers.error());
   }
-  const std::string& path = aParts.rest;
+  const std::string& path = aServicePath.subpath;
   const auto& routes = service->second.routes;
   const auto route = std::find_if(routes.begin(), routes.end(), [&](const RouteSpec& aRoute) {
     return (aRoute.method.empty() || aRoute.method == aRequest.method) &&
@@ -212,19 +215,19 @@
   if (route == routes.end()) {
     return Refuse(ResultCode::kServiceUnknown, "the service has no route for this method and path");
   }
-  checked.arrived.requestClass = route->requestClass;
-  checked.arrived.customer = *customerId;
-  checked.arrived.service = serviceId;
-  ReadFingerprint(aRequest, aPath, checked);
+  checked.arrivedEvent.requestClass = route->requestClass;
+  checked.arrivedEvent.customer = *customerId;
+  checked.arrivedEvent.service = serviceId;
+  SetBodyProperties(aRequest, aPath, checked);
   const auto query = aRequest.target.find('?');
   checked.call = { .method = aRequest.method,
                    .path = path + (query == std::string::npos ? "" : aRequest.target.substr(query)),
-                   .contentType = HeaderOf(aRequest, "Content-Type"),
+                   .contentType = HeaderValue(aRequest, "Content-Type"),
                    .body = aRequest.body,
                    .headers = {},
-                   .form = AnswerForm::kWhole,
+                   .form = AnswerForm::kBuffered,
                    .repeatability = configuration.classes.at(route->requestClass).repeatability };
-  for (const char* name : kPassedHeaders) {
+  for (const char* name : kForwardedFields) {
     if (const auto value = http::Find(aRequest.fields, name)) {
       checked.call.headers.emplace_back(name, *value);
     }
@@ -237,19 +240,19 @@
 tl::expected<CustomerId, Refusal> Authenticate(const Snapshot& aSnapshot,
                                                const http::Request& aRequest)
 {
-  const std::string header = HeaderOf(aRequest, "Authorization");
-  if (!header.starts_with(kBearer)) {
+  const std::string header = HeaderValue(aRequest, "Authorization");
+  if (!header.starts_with(kBearerPrefix)) {
     return Refuse(ResultCode::kKeyMissing);
   }
   const auto found = aSnapshot.customersByKeyHash.find(
-    Sha256Hex(std::string_view{ header }.substr(std::string_view{ kBearer }.size())));
+    Sha256Hex(std::string_view{ header }.substr(std::string_view{ kBearerPrefix }.size())));
   if (found == aSnapshot.customersByKeyHash.end()) {
     return Refuse(ResultCode::kKeyWrong);
   }
   return found->second;
 }
 
-std::string PathOf(const http::Request& aRequest)
+std::string DecodePath(const http::Request& aRequest)
 {
   // Routes are matched against the decoded path, so that percent-encoding does not evade them.
   return httplib::detail::decode_url(aRequest.target.substr(0, aRequest.target.find('?')), false);
--- a/src/caller/request_check.h
+++ b/src/caller/request_check.h
@@ -15,7 +15,7 @@
 /* A valid request: the event for the decision code, and the call to be made at an endpoint. */
 struct CheckedRequest
 {
-  RequestArrived arrived;
+  RequestArrived arrivedEvent;
   EndpointCall call;
 };
 
@@ -33,10 +33,10 @@
                                                const http::Request& aRequest);
 
 /* Returns the path of a request without its query, percent-decoded. */
-std::string PathOf(const http::Request& aRequest);
+std::string DecodePath(const http::Request& aRequest);
 
-/* Checks a completion request or a call to a plain service. aPath is the result of PathOf(). Other
- * requests fail with kServiceUnknown. */
+/* Checks a completion request or a call to a plain service. aPath is the result of DecodePath().
+ * Other requests fail with kServiceUnknown. */
 CheckResult CheckRequest(const Snapshot& aSnapshot,
                          const http::Request& aRequest,
                          const std::string& aPath);
--- a/src/caller/session.cpp
+++ b/src/caller/session.cpp
@@ -10,7 +10,7 @@
 
 /* While this many bytes of a stream, or more, wait to be taken for a slow caller, PushEvent()
  * blocks, and no more is read from the endpoint. */
-constexpr std::size_t kUntakenLimit = 256U << 10U;
+constexpr std::size_t kUntakenBytesLimit = 256U << 10U;
 
 } // namespace
 
@@ -23,32 +23,33 @@
 bool Session::BeginAttempt(AttemptNumber aAttempt)
 {
   const std::lock_guard lock(mMutex);
-  if (mFinish || IsStopped(aAttempt)) {
+  if (mFinish || IsStoppedLocked(aAttempt)) {
     return false;
   }
-  mAttempt = aAttempt;
+  mCurrentAttempt = aAttempt;
   mCanceller = nullptr;
-  mChanged.notify_all();
+  mStateChanged.notify_all();
   return true;
 }
 
-bool Session::IsStopped(AttemptNumber aAttempt) const
+bool Session::IsStoppedLocked(AttemptNumber aAttempt) const
 {
-  return aAttempt <= mStopped;
+  return aAttempt <= mLastStoppedAttempt;
 }
 
-bool Session::IsCurrent(AttemptNumber aAttempt) const
+bool Session::IsActiveLocked(AttemptNumber aAttempt) const
 {
-  return aAttempt == mAttempt && !IsStopped(aAttempt) && !mFinish;
+  return aAttempt == mCurrentAttempt && !IsStoppedLocked(aAttempt) && !mFinish;
 }
 
 bool Session::PushEvent(AttemptNumber aAttempt, std::uint32_t aIndex, std::string aData)
 {
   {
     std::unique_lock lock(mMutex);
-    mChanged.wait(
-      lock, [&] { return mUntakenBytes < kUntakenLimit || mIsAbandoned || !IsCurrent(aAttempt); });
-    if (!IsCurrent(aAttempt) || aIndex > mDelivered) {
+    mStateChanged.wait(lock, [&] {
+      return mUntakenBytes < kUntakenBytesLimit || mIsAbandoned || !IsActiveLocked(aAttempt);
+    });
+    if (!IsActiveLocked(aAttempt) || aIndex > mDelivered) {
       return false;
     }
     if (aIndex < mDelivered) {
@@ -61,17 +62,17 @@
     mUntakenBytes += aData.size();
     mParts.push_back(std::move(aData));
   }
-  Tell();
+  NotifyListener();
   return true;
 }
 
-bool Session::PushWhole(AttemptNumber aAttempt,
-                        int aStatus,
-                        std::string aContentType,
-                        std::string aBody)
+bool Session::PushBufferedAnswer(AttemptNumber aAttempt,
+                                 int aStatus,
+                                 std::string aContentType,
+                                 std::string aBody)
 {
   const std::lock_guard lock(mMutex);
-  if (!IsCurrent(aAttempt)) {
+  if (!IsActiveLocked(aAttempt)) {
     return false;
   }
   mStatus = aStatus;
@@ -95,19 +96,19 @@
     }
     mFinish = std::move(aFinish);
   }
-  Tell();
+  NotifyListener();
 }
 
 void Session::Abandon()
 {
-  const bool isOnce = mCall.repeatability == Repeatability::kAtMostOnce;
+  const bool isAtMostOnce = mCall.repeatability == Repeatability::kAtMostOnce;
   {
     const std::lock_guard lock(mMutex);
     mIsAbandoned = true;
     mParts.clear();
   }
-  mChanged.notify_all();
-  if (!isOnce) {
+  mStateChanged.notify_all();
+  if (!isAtMostOnce) {
     Finish({ .request = mId, .code = ResultCode::kDeadlinePassed });
   }
 }
@@ -117,12 +118,12 @@
   std::function<void()> canceller;
   {
     const std::lock_guard lock(mMutex);
-    mStopped = std::max(mStopped, aAttempt);
-    if (aAttempt == mAttempt) {
+    mLastStoppedAttempt = std::max(mLastStoppedAttempt, aAttempt);
+    if (aAttempt == mCurrentAttempt) {
       canceller = mCanceller;
     }
   }
-  mChanged.notify_all();
+  mStateChanged.notify_all();
   if (canceller) {
     canceller();
   }
@@ -131,17 +132,17 @@
 bool Session::SetCanceller(AttemptNumber aAttempt, std::function<void()> aCanceller)
 {
   const std::lock_guard lock(mMutex);
-  if (!IsCurrent(aAttempt)) {
+  if (!IsActiveLocked(aAttempt)) {
     return false;
   }
   mCanceller = std::move(aCanceller);
   return true;
 }
 
-bool Session::IsWanted(AttemptNumber aAttempt) const
+bool Session::IsActive(AttemptNumber aAttempt) const
 {
   const std::lock_guard lock(mMutex);
-  return IsCurrent(aAttempt);
+  return IsActiveLocked(aAttempt);
 }
 
 std::optional<AnswerPart> Session::TakePart()
@@ -160,7 +161,7 @@
     mUntakenBytes = 0;
     part.finish = mFinish;
   }
-  mChanged.notify_all();
+  mStateChanged.notify_all();
   return part;
 }
 
@@ -170,14 +171,14 @@
   mListener = std::move(aListener);
 }
 
-void Session::Tell()
+void Session::NotifyListener()
 {
   std::function<void()> listener;
   {
     const std::lock_guard lock(mMutex);
     listener = mListener;
   }
-  mChanged.notify_all();
+  mStateChanged.notify_all();
   if (listener) {
     listener();
   }
--- a/src/caller/session.h
+++ b/src/caller/session.h
@@ -18,7 +18,7 @@
 
 enum class AnswerForm : std::uint8_t
 {
-  kWhole,
+  kBuffered,
   kStream,
 };
 
@@ -30,7 +30,7 @@
   std::string contentType;
   std::string body;
   std::vector<std::pair<std::string, std::string>> headers;
-  AnswerForm form = AnswerForm::kWhole;
+  AnswerForm form = AnswerForm::kBuffered;
   Repeatability repeatability = Repeatability::kIdempotent;
 };
 
@@ -61,7 +61,10 @@
   bool PushEvent(AttemptNumber aAttempt, std::uint32_t aIndex, std::string aData);
 
   /* Adds a complete non-streaming answer. Returns false when the attempt is not active. */
-  bool PushWhole(AttemptNumber aAttempt, int aStatus, std::string aContentType, std::string aBody);
+  bool PushBufferedAnswer(AttemptNumber aAttempt,
+                          int aStatus,
+                          std::string aContentType,
+                          std::string aBody);
 
   /* Returns the number of stream events that were accepted for the caller. */
   std::uint32_t delivered() const;
@@ -81,7 +84,7 @@
   bool SetCanceller(AttemptNumber aAttempt, std::function<void()> aCanceller);
   /* Returns whether the attempt is active: it is the current one, it was not stopped, and the
    * request has not ended. */
-  bool IsWanted(AttemptNumber aAttempt) const;
+  bool IsActive(AttemptNumber aAttempt) const;
 
   /* Removes and returns all data that can be forwarded now, or nothing if there is none. */
   std::optional<AnswerPart> TakePart();
@@ -94,15 +97,15 @@
   const std::string& contentType() const { return mContentType; }
 
 private:
-  bool IsStopped(AttemptNumber aAttempt) const;
-  bool IsCurrent(AttemptNumber aAttempt) const;
-  void Tell();
+  bool IsStoppedLocked(AttemptNumber aAttempt) const;
+  bool IsActiveLocked(AttemptNumber aAttempt) const;
+  void NotifyListener();
 
   const RequestId mId;
   const EndpointCall mCall;
   mutable std::mutex mMutex;
-  std::condition_variable mChanged;
-  AttemptNumber mAttempt;
+  std::condition_variable mStateChanged;
+  AttemptNumber mCurrentAttempt;
   std::uint32_t mDelivered = 0; ///< Accepted stream events, of all attempts together.
   std::deque<std::string> mParts;
   std::size_t mUntakenBytes = 0; ///< Size of the stream events in mParts.
@@ -110,7 +113,7 @@
   bool mIsAbandoned = false;
   std::function<void()> mCanceller;
   std::function<void()> mListener;
-  AttemptNumber mStopped; ///< This attempt and all earlier ones are stopped.
+  AttemptNumber mLastStoppedAttempt; ///< This attempt and all earlier ones are stopped.
   int mStatus = 200;
   std::string mContentType = "application/json";
 };
--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -19,25 +19,25 @@
 constexpr Duration kConnectTimeout = 1s;
 /* Number of health probes of an endpoint whose connection broke, and the time between them. */
 constexpr int kProbeLimit = 5;
-constexpr Duration kProbePause = 10ms;
+constexpr Duration kProbeInterval = 10ms;
 /* Idle connections that one thread keeps open. All are closed when one more is to be kept. */
-constexpr std::size_t kConnectionLimit = 32;
+constexpr std::size_t kIdleConnectionLimit = 32;
 /* Largest non-streaming answer that is accepted, in bytes. */
-constexpr std::size_t kAnswerLimit = 64U << 20U;
+constexpr std::size_t kAnswerBytesLimit = 64U << 20U;
 constexpr int kHttpOk = 200;
 constexpr int kHttpNoContent = 204;
 constexpr int kHttpServerError = 500;
 
 /* The idle connections of one thread, at most one for each address. */
-class Connections
+class IdleConnections
 {
 public:
   std::shared_ptr<httplib::Client> Take(const std::string& aAddress, ConnectionReuse aReuse)
   {
-    const auto found = mIdle.find(aAddress);
-    if (aReuse == ConnectionReuse::kAllowed && found != mIdle.end()) {
+    const auto found = mIdleClients.find(aAddress);
+    if (aReuse == ConnectionReuse::kAllowed && found != mIdleClients.end()) {
       auto client = std::move(found->second);
-      mIdle.erase(found);
+      mIdleClients.erase(found);
       return client;
     }
     auto client = std::make_shared<httplib::Client>("http://" + aAddress);
@@ -49,14 +49,14 @@
 
   void Keep(const std::string& aAddress, std::shared_ptr<httplib::Client> aClient)
   {
-    if (mIdle.size() >= kConnectionLimit) {
-      mIdle.clear();
+    if (mIdleClients.size() >= kIdleConnectionLimit) {
+      mIdleClients.clear();
     }
-    mIdle[aAddress] = std::move(aClient);
+    mIdleClients[aAddress] = std::move(aClient);
   }
 
 private:
-  std::unordered_map<std::string, std::shared_ptr<httplib::Client>> mIdle;
+  std::unordered_map<std::string, std::shared_ptr<httplib::Client>> mIdleClients;
 };
 
 /* Lets another thread stop the call that a client makes for one attempt. */
@@ -92,7 +92,7 @@
  * once. */
 bool RefusesConnections(const std::string& aAddress)
 {
-  for (int tries = 0; tries < kProbeLimit; ++tries) {
+  for (int probeCount = 0; probeCount < kProbeLimit; ++probeCount) {
     httplib::Client probe("http://" + aAddress);
     probe.set_connection_timeout(kConnectTimeout);
     probe.set_read_timeout(kConnectTimeout);
@@ -101,11 +101,11 @@
     if (!result && result.error() == httplib::Error::Connection) {
       return true;
     }
-    const bool isAlive = result || std::chrono::steady_clock::now() - started >= kConnectTimeout;
-    if (isAlive) {
+    const bool isRunning = result || std::chrono::steady_clock::now() - started >= kConnectTimeout;
+    if (isRunning) {
       return false;
     }
-    std::this_thread::sleep_for(kProbePause);
+    std::this_thread::sleep_for(kProbeInterval);
   }
   return false;
 }
@@ -114,10 +114,10 @@
 class AnswerReader
 {
 public:
-  AnswerReader(Session& aSession, const StartAttempt& aStart, Duration aSilenceLimit)
+  AnswerReader(Session& aSession, const StartAttempt& aStart, Duration aProgressTimeout)
     : mSession(aSession)
     , mStart(aStart)
-    , mSilenceLimit(aSilenceLimit)
+    , mProgressTimeout(aProgressTimeout)
   {
   }
 
@@ -125,48 +125,49 @@
   {
     mStatus = aResponse.status;
     mContentType = aResponse.get_header_value("Content-Type");
-    mRefusal = aResponse.get_header_value("X-Refusal");
+    mRefusalReason = aResponse.get_header_value("X-Refusal");
     const std::string id = aResponse.get_header_value("X-Request-Id");
     mIsMismatched = !id.empty() && id != mStart.request.str();
     mIsStream = mSession.call().form == AnswerForm::kStream && mStatus == kHttpOk;
     // An engine that does not return the requested offset sends the stream from its beginning.
     const std::string offset = std::to_string(mStart.resumeOffset);
-    mNextIndex = aResponse.get_header_value("X-Resume-Offset") == offset ? mStart.resumeOffset : 0;
-    mHasEnd = aResponse.has_header("Content-Length") || mStatus == kHttpNoContent ||
-              aResponse.get_header_value("Transfer-Encoding") == "chunked";
-    return Progress() && !mIsMismatched;
+    mNextEventIndex =
+      aResponse.get_header_value("X-Resume-Offset") == offset ? mStart.resumeOffset : 0;
+    mHasDefinedEnd = aResponse.has_header("Content-Length") || mStatus == kHttpNoContent ||
+                     aResponse.get_header_value("Transfer-Encoding") == "chunked";
+    return RecordProgress() && !mIsMismatched;
   }
 
   bool OnData(std::string_view aBytes)
   {
-    if (!Progress()) {
+    if (!RecordProgress()) {
       return false;
     }
     if (!mIsStream) {
       mBody += aBytes;
-      return mBody.size() <= kAnswerLimit;
+      return mBody.size() <= kAnswerBytesLimit;
     }
     if (!mSplitter.Feed(aBytes)) {
       return false;
     }
     while (auto event = mSplitter.Next()) {
       if (*event == kStreamEndMark) {
-        mIsEnded = true;
+        mIsEndMarkReceived = true;
       }
-      if (!mSession.PushEvent(mStart.attempt, mNextIndex, std::move(*event))) {
+      if (!mSession.PushEvent(mStart.attempt, mNextEventIndex, std::move(*event))) {
         return false;
       }
-      ++mNextIndex;
+      ++mNextEventIndex;
     }
     return true;
   }
 
   /* Returns the result of the attempt. Gives a complete non-streaming answer to the session. */
-  AttemptEnded Judge(const httplib::Result& aResult)
+  AttemptEnded MakeAttemptEnded(const httplib::Result& aResult)
   {
     AttemptEnded ended{ .request = mStart.request,
                         .attempt = mStart.attempt,
-                        .outcome = OutcomeOf(aResult),
+                        .outcome = DetermineOutcome(aResult),
                         .delivered = mSession.delivered(),
                         .httpStatus = 0,
                         .contentType = {},
@@ -176,59 +177,59 @@
     }
     ended.httpStatus = static_cast<std::uint16_t>(mStatus);
     ended.contentType = mContentType;
-    const bool isOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
-    if (isOnce) {
+    const bool isAtMostOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
+    if (isAtMostOnce) {
       ended.answer = mBody;
     }
-    const bool isPassedOn =
-      mIsStream || mSession.PushWhole(mStart.attempt, mStatus, mContentType, mBody);
-    if (!isPassedOn && !isOnce) {
+    const bool isForwarded =
+      mIsStream || mSession.PushBufferedAnswer(mStart.attempt, mStatus, mContentType, mBody);
+    if (!isForwarded && !isAtMostOnce) {
       ended.outcome = AttemptOutcome::kCancelled;
     }
     return ended;
   }
 
 private:
-  AttemptOutcome OutcomeOf(const httplib::Result& aResult) const
+  AttemptOutcome DetermineOutcome(const httplib::Result& aResult) const
   {
     if (mIsMismatched) {
       return AttemptOutcome::kMismatched;
     }
     if (!aResult) {
-      return TransportOutcome(aResult.error());
+      return DetermineTransportOutcome(aResult.error());
     }
-    if (mRefusal == "leaving") {
+    if (mRefusalReason == "leaving") {
       return AttemptOutcome::kLeaving;
     }
-    if (!mRefusal.empty()) {
+    if (!mRefusalReason.empty()) {
       return AttemptOutcome::kNotRun;
     }
     if (mIsStream) {
-      return mIsEnded ? AttemptOutcome::kCompleted : AttemptOutcome::kCut;
+      return mIsEndMarkReceived ? AttemptOutcome::kCompleted : AttemptOutcome::kCut;
     }
-    if (!mHasEnd) {
+    if (!mHasDefinedEnd) {
       // Without a length, a closed connection does not show whether the answer is complete.
       return AttemptOutcome::kCut;
     }
-    const bool isOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
-    if (mStatus >= kHttpServerError && !isOnce) {
+    const bool isAtMostOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
+    if (mStatus >= kHttpServerError && !isAtMostOnce) {
       return AttemptOutcome::kCut;
     }
     return AttemptOutcome::kCompleted;
   }
 
-  AttemptOutcome TransportOutcome(httplib::Error aError) const
+  AttemptOutcome DetermineTransportOutcome(httplib::Error aError) const
   {
-    if (mIsStream && mIsEnded) {
+    if (mIsStream && mIsEndMarkReceived) {
       return AttemptOutcome::kCompleted;
     }
     if (aError == httplib::Error::Connection || aError == httplib::Error::ConnectionTimeout) {
       return AttemptOutcome::kNotConnected;
     }
-    if (!mSession.IsWanted(mStart.attempt)) {
+    if (!mSession.IsActive(mStart.attempt)) {
       return AttemptOutcome::kCancelled;
     }
-    if (std::chrono::steady_clock::now() - mProgressAt >= mSilenceLimit) {
+    if (std::chrono::steady_clock::now() - mLastProgressAt >= mProgressTimeout) {
       return AttemptOutcome::kSilent;
     }
     return RefusesConnections(mStart.address) ? AttemptOutcome::kCrashed : AttemptOutcome::kCut;
@@ -236,26 +237,26 @@
 
   /* Records that bytes have arrived. Returns false when the attempt was stopped or superseded, or
    * the request has ended. */
-  bool Progress()
+  bool RecordProgress()
   {
-    mProgressAt = std::chrono::steady_clock::now();
-    return mSession.IsWanted(mStart.attempt);
+    mLastProgressAt = std::chrono::steady_clock::now();
+    return mSession.IsActive(mStart.attempt);
   }
 
   Session& mSession;
   const StartAttempt& mStart;
-  const Duration mSilenceLimit;
-  std::chrono::steady_clock::time_point mProgressAt = std::chrono::steady_clock::now();
+  const Duration mProgressTimeout;
+  std::chrono::steady_clock::time_point mLastProgressAt = std::chrono::steady_clock::now();
   SseSplitter mSplitter;
-  std::uint32_t mNextIndex = 0;
+  std::uint32_t mNextEventIndex = 0;
   int mStatus = 0;
   std::string mContentType;
-  std::string mRefusal;
+  std::string mRefusalReason;
   std::string mBody;
   bool mIsStream = false;
-  bool mIsEnded = false;
+  bool mIsEndMarkReceived = false;
   bool mIsMismatched = false;
-  bool mHasEnd = false; ///< The header gives the length, chunked framing or status 204.
+  bool mHasDefinedEnd = false; ///< The header gives the length, chunked framing or status 204.
 };
 
 httplib::Request MakeRequest(const Session& aSession,
@@ -292,32 +293,34 @@
 
 AttemptEnded RunAttempt(Session& aSession, const StartAttempt& aStart)
 {
-  thread_local Connections sConnections;
-  AttemptEnded unsent{ .request = aStart.request,
-                       .attempt = aStart.attempt,
-                       .outcome = AttemptOutcome::kNotConnected,
-                       .delivered = aSession.delivered() };
+  thread_local IdleConnections sIdleConnections;
+  AttemptEnded notSent{ .request = aStart.request,
+                        .attempt = aStart.attempt,
+                        .outcome = AttemptOutcome::kNotConnected,
+                        .delivered = aSession.delivered() };
   if (!aSession.BeginAttempt(aStart.attempt)) {
-    return unsent;
+    return notSent;
   }
-  const auto client = sConnections.Take(aStart.address, aStart.reuse);
-  const Duration limit = std::min(aStart.progressLimit, std::max(aStart.timeLeft, Duration{ 1ms }));
+  const auto client = sIdleConnections.Take(aStart.address, aStart.reuse);
+  const Duration progressTimeout =
+    std::min(aStart.progressLimit, std::max(aStart.timeLeft, Duration{ 1ms }));
   // A non-streaming answer shows no progress while the endpoint computes it. Only the deadline
   // limits it.
-  const Duration silence =
-    aSession.call().form == AnswerForm::kStream ? limit : std::max(aStart.timeLeft, limit);
-  client->set_read_timeout(silence);
-  client->set_write_timeout(limit);
+  const Duration readTimeout = aSession.call().form == AnswerForm::kStream
+                                 ? progressTimeout
+                                 : std::max(aStart.timeLeft, progressTimeout);
+  client->set_read_timeout(readTimeout);
+  client->set_write_timeout(progressTimeout);
   const auto canceller = std::make_shared<Canceller>(client);
   if (!aSession.SetCanceller(aStart.attempt, [canceller] { canceller->Cancel(); })) {
-    return unsent;
+    return notSent;
   }
-  AnswerReader reader(aSession, aStart, silence);
+  AnswerReader reader(aSession, aStart, readTimeout);
   const httplib::Result result = client->send(MakeRequest(aSession, aStart, reader));
-  AttemptEnded ended = reader.Judge(result);
+  AttemptEnded ended = reader.MakeAttemptEnded(result);
   canceller->Detach();
   if (result) {
-    sConnections.Keep(aStart.address, client);
+    sIdleConnections.Keep(aStart.address, client);
   }
   return ended;
 }
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -14,11 +14,11 @@
 
 using nlohmann::json;
 
-constexpr std::array kKindNames{ "inventory", "load_model", "unload_model", "load_adapter" };
+constexpr std::array kOrderKindNames{ "inventory", "load_model", "unload_model", "load_adapter" };
 /* How long the engine may delay its answer to a status request while the order is running. */
-constexpr Duration kFollowWait = 1s;
+constexpr Duration kOrderStatusWait = 1s;
 
-OrderOutcome OutcomeOf(const std::string& aState)
+OrderOutcome ParseOrderState(const std::string& aState)
 {
   if (aState == "done") {
     return OrderOutcome::kDone;
@@ -35,7 +35,7 @@
   return aState == "failed" ? OrderOutcome::kFailed : OrderOutcome::kUnknown;
 }
 
-OrderResult ResultOf(const SendOrder& aOrder, const HttpAnswer& aAnswer)
+OrderResult MakeOrderResult(const SendOrder& aOrder, const HttpAnswer& aAnswer)
 {
   OrderResult result{ .cell = aOrder.cell,
                       .runner = aOrder.runner,
@@ -51,14 +51,14 @@
   }
   try {
     const json body = json::parse(aAnswer.body);
-    const bool isOurs = body.at("order") == aOrder.order.str();
+    const bool isForThisOrder = body.at("order") == aOrder.order.str();
     if (body.contains("inventory")) {
       if (auto inventory = DecodeInventory(body["inventory"].dump())) {
         result.inventory = std::move(*inventory);
       }
     }
-    result.outcome =
-      isOurs ? OutcomeOf(body.at("state").get<std::string>()) : OrderOutcome::kUnknown;
+    result.outcome = isForThisOrder ? ParseOrderState(body.at("state").get<std::string>())
+                                    : OrderOutcome::kUnknown;
   } catch (const std::exception&) {
     result.outcome = OrderOutcome::kUnknown;
   }
@@ -70,30 +70,31 @@
 OrderResult GiveOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
 {
   const json body{ { "order", aOrder.order.str() },
-                   { "kind", kKindNames[static_cast<std::size_t>(aOrder.kind)] },
+                   { "kind", kOrderKindNames[static_cast<std::size_t>(aOrder.kind)] },
                    { "fence", aOrder.fence.value },
                    { "issuer", aOptions.issuer.daemon.str() + "." + aOptions.issuer.id.str() },
                    { "model", aOrder.artifact.model.str() },
                    { "adapter", aOrder.artifact.adapter.str() },
                    { "version", aOrder.version },
                    { "memory", aOrder.memory.value } };
-  return ResultOf(aOrder,
-                  CallHttp({ .address = aOrder.address,
-                             .method = "POST",
-                             .path = "/orders",
-                             .body = body.dump(),
-                             .timeout = aOptions.timeout }));
+  return MakeOrderResult(aOrder,
+                         CallHttp({ .address = aOrder.address,
+                                    .method = "POST",
+                                    .path = "/orders",
+                                    .body = body.dump(),
+                                    .timeout = aOptions.timeout }));
 }
 
 OrderResult FollowOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
 {
   const std::string path =
-    "/orders/" + aOrder.order.str() + "?wait_ms=" + std::to_string(kFollowWait / 1ms);
-  OrderResult result = ResultOf(aOrder,
-                                CallHttp({ .address = aOrder.address,
-                                           .path = path,
-                                           .body = {},
-                                           .timeout = aOptions.timeout + kFollowWait }));
+    "/orders/" + aOrder.order.str() + "?wait_ms=" + std::to_string(kOrderStatusWait / 1ms);
+  OrderResult result =
+    MakeOrderResult(aOrder,
+                    CallHttp({ .address = aOrder.address,
+                               .path = path,
+                               .body = {},
+                               .timeout = aOptions.timeout + kOrderStatusWait }));
   if (result.outcome == OrderOutcome::kNotConnected || result.outcome == OrderOutcome::kRefused) {
     // The runner had accepted the order, so the order may still take effect.
     result.outcome = OrderOutcome::kUnknown;
--- a/src/peer/fleet_link.cpp
+++ b/src/peer/fleet_link.cpp
@@ -22,27 +22,27 @@
 
 /* Messages to one address that are queued while its connection is being established. Further ones
  * are dropped. */
-constexpr std::size_t kWaitingLimit = 1'024;
-constexpr Duration kConnectLimit = 600ms;
+constexpr std::size_t kQueuedMessageLimit = 1'024;
+constexpr Duration kConnectTimeout = 600ms;
 /* Time between a failed accept and the next one. */
-constexpr Duration kAcceptPause = 50ms;
+constexpr Duration kAcceptRetryDelay = 50ms;
 
 /* An accepted or outgoing connection, driven by the event loop. */
-class Link : public std::enable_shared_from_this<Link>
+class AsyncConnection : public std::enable_shared_from_this<AsyncConnection>
 {
 public:
-  Link(asio::io_context& aContext,
-       int aSocket,
-       PeerRole aRole,
-       PeerConnection::Receiver aReceiver,
-       std::function<void()> aOnEnd)
+  AsyncConnection(asio::io_context& aContext,
+                  int aSocket,
+                  PeerRole aRole,
+                  PeerConnection::Receiver aReceiver,
+                  std::function<void()> aOnEnd)
     : mDescriptor(aContext, aSocket)
     , mConnection(std::make_unique<PeerConnection>(aSocket, aRole, std::move(aReceiver)))
     , mOnEnd(std::move(aOnEnd))
   {
   }
 
-  ~Link()
+  ~AsyncConnection()
   {
     if (!mIsEnded) {
       mDescriptor.release(); // The connection owns the socket.
@@ -64,9 +64,9 @@
     return !mIsEnded;
   }
 
-  bool IsSilent(TimePoint aNow, Duration aLimit) const
+  bool HasOverdueMessage(TimePoint aNow, Duration aLimit) const
   {
-    return !mIsEnded && mConnection->IsSilent(aNow, aLimit);
+    return !mIsEnded && mConnection->HasOverdueMessage(aNow, aLimit);
   }
 
   /* Closes the connection and calls the end handler, unless Detach() was called. */
@@ -96,7 +96,7 @@
                                self->End();
                                return;
                              }
-                             self->WaitForWriteIfWanted();
+                             self->WaitForWriteIfNeeded();
                              self->WaitForRead();
                            });
   }
@@ -107,18 +107,18 @@
       End();
       return;
     }
-    WaitForWriteIfWanted();
+    WaitForWriteIfNeeded();
   }
 
-  void WaitForWriteIfWanted()
+  void WaitForWriteIfNeeded()
   {
-    if (mIsEnded || mIsWaitingToWrite || !mConnection->WantsWrite()) {
+    if (mIsEnded || mIsWaitingForWrite || !mConnection->WantsWrite()) {
       return;
     }
-    mIsWaitingToWrite = true;
+    mIsWaitingForWrite = true;
     mDescriptor.async_wait(asio::posix::stream_descriptor::wait_write,
                            [self = shared_from_this()](error_code aError) {
-                             self->mIsWaitingToWrite = false;
+                             self->mIsWaitingForWrite = false;
                              if (self->mIsEnded) {
                                return;
                              }
@@ -133,14 +133,14 @@
   asio::posix::stream_descriptor mDescriptor;
   std::unique_ptr<PeerConnection> mConnection;
   std::function<void()> mOnEnd;
-  bool mIsWaitingToWrite = false;
+  bool mIsWaitingForWrite = false;
   bool mIsEnded = false;
 };
 
-/* A connection to one address. While it is being established, link is null and messages wait. */
-struct Outgoing
+/* A connection to one address. Messages are queued until it is established. */
+struct OutgoingConnection
 {
-  explicit Outgoing(asio::io_context& aContext)
+  explicit OutgoingConnection(asio::io_context& aContext)
     : socket(aContext)
     , timer(aContext)
   {
@@ -148,8 +148,8 @@
 
   tcp::socket socket;
   asio::steady_timer timer;
-  std::shared_ptr<Link> link;
-  std::vector<std::vector<std::uint8_t>> waiting;
+  std::shared_ptr<AsyncConnection> connection; ///< Null until it is established.
+  std::vector<std::vector<std::uint8_t>> queuedMessages;
 };
 
 } // namespace
@@ -160,35 +160,37 @@
     : context(aContext)
     , options(std::move(aOptions))
     , handlers(std::move(aHandlers))
-    , listener(aContext,
-               { .address = options.address, .pause = kAcceptPause },
-               { .onSocket = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
-                 .onFailure = nullptr })
+    , listener(
+        aContext,
+        { .address = options.address, .pause = kAcceptRetryDelay },
+        { .onSocket = [this](tcp::socket aSocket) { AddIncomingConnection(std::move(aSocket)); },
+          .onFailure = nullptr })
   {
   }
 
-  void OnSocket(tcp::socket aSocket);
+  void AddIncomingConnection(tcp::socket aSocket);
   void Connect(const std::string& aAddress);
-  void OnConnected(const std::string& aAddress, const std::shared_ptr<Outgoing>& aOutgoing);
-  void Break(const std::string& aAddress);
+  void OnConnected(const std::string& aAddress,
+                   const std::shared_ptr<OutgoingConnection>& aOutgoingConnection);
+  void OnConnectionEnded(const std::string& aAddress);
 
   asio::io_context& context;
   FleetLinkOptions options;
   FleetLinkHandlers handlers;
   http::Listener listener;
-  std::map<std::string, std::shared_ptr<Outgoing>> outgoing;
-  std::set<std::shared_ptr<Link>> incoming;
+  std::map<std::string, std::shared_ptr<OutgoingConnection>> outgoingConnections;
+  std::set<std::shared_ptr<AsyncConnection>> incomingConnections;
   bool isClosed = false;
 };
 
-void FleetLink::Impl::OnSocket(tcp::socket aSocket)
+void FleetLink::Impl::AddIncomingConnection(tcp::socket aSocket)
 {
   error_code ignored; // If this fails, the first read fails, too, and closes the connection.
   aSocket.native_non_blocking(true, ignored);
   http::SetSocketOptions(aSocket);
   const std::weak_ptr<Impl> weak = weak_from_this();
-  auto place = std::make_shared<std::weak_ptr<Link>>();
-  auto link = std::make_shared<Link>(
+  auto ownConnection = std::make_shared<std::weak_ptr<AsyncConnection>>();
+  auto connection = std::make_shared<AsyncConnection>(
     context,
     aSocket.release(),
     PeerRole::kServer,
@@ -197,81 +199,82 @@
         owner->handlers.onMessage(aBody);
       }
     },
-    [weak, place] {
+    [weak, ownConnection] {
       if (const auto owner = weak.lock()) {
-        owner->incoming.erase(place->lock());
+        owner->incomingConnections.erase(ownConnection->lock());
       }
     });
-  *place = link;
-  incoming.insert(link);
-  link->Start();
+  *ownConnection = connection;
+  incomingConnections.insert(connection);
+  connection->Start();
 }
 
 void FleetLink::Impl::Connect(const std::string& aAddress)
 {
-  auto item = std::make_shared<Outgoing>(context);
-  outgoing[aAddress] = item;
+  auto outgoing = std::make_shared<OutgoingConnection>(context);
+  outgoingConnections[aAddress] = outgoing;
   const auto endpoint = http::ParseEndpoint(aAddress);
   error_code error;
   if (endpoint) {
-    item->socket.open(endpoint->protocol(), error);
+    outgoing->socket.open(endpoint->protocol(), error);
   }
   if (!endpoint || error) {
-    asio::post(context, [self = shared_from_this(), aAddress] { self->Break(aAddress); });
+    asio::post(context,
+               [self = shared_from_this(), aAddress] { self->OnConnectionEnded(aAddress); });
     return;
   }
-  http::SetSocketOptions(item->socket);
-  item->timer.expires_after(kConnectLimit);
-  item->timer.async_wait([item](error_code aError) {
-    if (!aError && !item->link) {
+  http::SetSocketOptions(outgoing->socket);
+  outgoing->timer.expires_after(kConnectTimeout);
+  outgoing->timer.async_wait([outgoing](error_code aError) {
+    if (!aError && !outgoing->connection) {
       error_code ignored; // Closing the socket ends async_connect() with an error.
-      item->socket.close(ignored);
+      outgoing->socket.close(ignored);
     }
   });
-  item->socket.async_connect(*endpoint,
-                             [self = shared_from_this(), item, aAddress](error_code aError) {
-                               item->timer.cancel();
-                               const auto found = self->outgoing.find(aAddress);
-                               if (found == self->outgoing.end() || found->second != item) {
-                                 return; // Disconnect() or Close() was called meanwhile.
-                               }
-                               if (aError) {
-                                 self->Break(aAddress);
-                                 return;
-                               }
-                               self->OnConnected(aAddress, item);
-                             });
+  outgoing->socket.async_connect(
+    *endpoint, [self = shared_from_this(), outgoing, aAddress](error_code aError) {
+      outgoing->timer.cancel();
+      const auto found = self->outgoingConnections.find(aAddress);
+      if (found == self->outgoingConnections.end() || found->second != outgoing) {
+        return; // Disconnect() or Close() was called meanwhile.
+      }
+      if (aError) {
+        self->OnConnectionEnded(aAddress);
+        return;
+      }
+      self->OnConnected(aAddress, outgoing);
+    });
 }
 
 void FleetLink::Impl::OnConnected(const std::string& aAddress,
-                                  const std::shared_ptr<Outgoing>& aOutgoing)
+                                  const std::shared_ptr<OutgoingConnection>& aOutgoingConnection)
 {
   error_code ignored; // If this fails, the first write fails, too, and closes the connection.
-  aOutgoing->socket.native_non_blocking(true, ignored);
+  aOutgoingConnection->socket.native_non_blocking(true, ignored);
   const std::weak_ptr<Impl> weak = weak_from_this();
-  aOutgoing->link = std::make_shared<Link>(
+  aOutgoingConnection->connection = std::make_shared<AsyncConnection>(
     context,
-    aOutgoing->socket.release(),
+    aOutgoingConnection->socket.release(),
     PeerRole::kClient,
     [](const std::string& /*aBody*/) {},
     [weak, aAddress] {
       if (const auto owner = weak.lock()) {
-        owner->Break(aAddress);
+        owner->OnConnectionEnded(aAddress);
       }
     });
-  const auto link = aOutgoing->link;
-  link->Start();
-  for (auto& message : std::exchange(aOutgoing->waiting, {})) {
-    if (!link->Submit(std::move(message))) {
-      link->End();
+  const auto connection = aOutgoingConnection->connection;
+  connection->Start();
+  for (auto& message : std::exchange(aOutgoingConnection->queuedMessages, {})) {
+    if (!connection->Submit(std::move(message))) {
+      connection->End();
       return;
     }
   }
 }
 
-void FleetLink::Impl::Break(const std::string& aAddress)
+void FleetLink::Impl::OnConnectionEnded(const std::string& aAddress)
 {
-  if (outgoing.erase(aAddress) > 0 && !isClosed) {
+  if (outgoingConnections.erase(aAddress) > 0 && !isClosed) {
     handlers.onBroken(aAddress);
   }
 }
@@ -295,42 +298,43 @@
 
 void FleetLink::Send(const std::string& aAddress, std::vector<std::uint8_t> aBytes)
 {
-  if (!mImpl->outgoing.contains(aAddress)) {
+  if (!mImpl->outgoingConnections.contains(aAddress)) {
     mImpl->Connect(aAddress);
   }
-  const auto item = mImpl->outgoing[aAddress];
-  if (!item->link) {
-    if (item->waiting.size() < kWaitingLimit) {
-      item->waiting.push_back(std::move(aBytes));
+  const auto outgoing = mImpl->outgoingConnections[aAddress];
+  if (!outgoing->connection) {
+    if (outgoing->queuedMessages.size() < kQueuedMessageLimit) {
+      outgoing->queuedMessages.push_back(std::move(aBytes));
     }
     return;
   }
-  if (!item->link->Submit(std::move(aBytes))) {
-    const auto link = item->link;
-    link->End();
+  if (!outgoing->connection->Submit(std::move(aBytes))) {
+    const auto connection = outgoing->connection;
+    connection->End();
   }
 }
 
 void FleetLink::Disconnect(const std::string& aAddress)
 {
-  const auto found = mImpl->outgoing.find(aAddress);
-  if (found == mImpl->outgoing.end()) {
+  const auto found = mImpl->outgoingConnections.find(aAddress);
+  if (found == mImpl->outgoingConnections.end()) {
     return;
   }
-  const auto item = found->second;
-  mImpl->outgoing.erase(found);
-  if (item->link) {
-    item->link->Detach();
-    item->link->End();
+  const auto outgoing = found->second;
+  mImpl->outgoingConnections.erase(found);
+  if (outgoing->connection) {
+    outgoing->connection->Detach();
+    outgoing->connection->End();
   }
 }
 
 void FleetLink::CheckSilence(TimePoint aNow)
 {
-  const auto links = mImpl->outgoing;
-  for (const auto& [address, item] : links) {
-    if (item->link && item->link->IsSilent(aNow, mImpl->options.silenceLimit)) {
-      item->link->End();
+  const auto connections = mImpl->outgoingConnections;
+  for (const auto& [address, outgoing] : connections) {
+    if (outgoing->connection &&
+        outgoing->connection->HasOverdueMessage(aNow, mImpl->options.responseTimeout)) {
+      outgoing->connection->End();
     }
   }
 }
@@ -339,15 +343,15 @@
 {
   mImpl->isClosed = true;
   mImpl->listener.Close();
-  for (const auto& [address, item] : std::exchange(mImpl->outgoing, {})) {
-    if (item->link) {
-      item->link->Detach();
-      item->link->End();
+  for (const auto& [address, outgoing] : std::exchange(mImpl->outgoingConnections, {})) {
+    if (outgoing->connection) {
+      outgoing->connection->Detach();
+      outgoing->connection->End();
     }
   }
-  for (const auto& link : std::exchange(mImpl->incoming, {})) {
-    link->Detach();
-    link->End();
+  for (const auto& connection : std::exchange(mImpl->incomingConnections, {})) {
+    connection->Detach();
+    connection->End();
   }
 }
 
--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -26,7 +26,7 @@
 {
   std::string address; ///< host:port to listen on.
   /* A message without a response for longer closes its connection. */
-  Duration silenceLimit = 1'200ms;
+  Duration responseTimeout = 1'200ms;
 };
 
 /* Keeps one outgoing HTTP/2 connection for each address that messages are sent to, and accepts the
@@ -48,7 +48,7 @@
   /* Closes the connection to an address without calling onBroken. */
   void Disconnect(const std::string& aAddress);
   /* Closes outgoing connections with a message that has had no response for longer than
-   * silenceLimit. Must be called periodically. */
+   * responseTimeout. Must be called periodically. */
   void CheckSilence(TimePoint aNow);
   void Close();
 
--- a/src/peer/peer_connection.cpp
+++ b/src/peer/peer_connection.cpp
@@ -14,14 +14,14 @@
 
 /* Total size of the incomplete messages of one connection. The connection is closed beyond it,
  * which bounds the memory that a peer can make this daemon use. */
-constexpr std::size_t kIncomingLimit = 8U << 20U;
+constexpr std::size_t kIncompleteMessageBytesLimit = 8U << 20U;
 /* Open streams of one connection at a time. Each message without a response occupies one. */
 constexpr std::uint32_t kStreamLimit = 1'024;
 /* Flow-control window of a stream and of a connection, in bytes. */
-constexpr std::uint32_t kWindow = 8U << 20U;
-constexpr std::size_t kReadSize = 64U << 10U;
+constexpr std::uint32_t kFlowControlWindow = 8U << 20U;
+constexpr std::size_t kReadBufferSize = 64U << 10U;
 
-nghttp2_nv Header(const char* aName, const char* aValue)
+nghttp2_nv MakeHeaderField(const char* aName, const char* aValue)
 {
   // The casts are safe: nghttp2 copies names and values and does not modify them.
   return { reinterpret_cast<std::uint8_t*>(const_cast<char*>(aName)),
@@ -40,8 +40,8 @@
 {
   nghttp2_session_callbacks* callbacks = nullptr;
   nghttp2_session_callbacks_new(&callbacks);
-  nghttp2_session_callbacks_set_on_data_chunk_recv_callback(callbacks, OnDataChunk);
-  nghttp2_session_callbacks_set_on_frame_recv_callback(callbacks, OnFrame);
+  nghttp2_session_callbacks_set_on_data_chunk_recv_callback(callbacks, OnDataChunkReceived);
+  nghttp2_session_callbacks_set_on_frame_recv_callback(callbacks, OnFrameReceived);
   nghttp2_session_callbacks_set_on_stream_close_callback(callbacks, OnStreamClose);
   if (mRole == PeerRole::kServer) {
     nghttp2_session_server_new(&mSession, callbacks, this);
@@ -51,11 +51,11 @@
   nghttp2_session_callbacks_del(callbacks);
   const std::array<nghttp2_settings_entry, 2> settings{
     { { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, kStreamLimit },
-      { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, kWindow } }
+      { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, kFlowControlWindow } }
   };
   nghttp2_submit_settings(mSession, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
   nghttp2_session_set_local_window_size(
-    mSession, NGHTTP2_FLAG_NONE, 0, static_cast<std::int32_t>(kWindow));
+    mSession, NGHTTP2_FLAG_NONE, 0, static_cast<std::int32_t>(kFlowControlWindow));
 }
 
 PeerConnection::~PeerConnection()
@@ -71,32 +71,32 @@
 
 bool PeerConnection::Submit(std::vector<std::uint8_t> aBody, TimePoint aNow)
 {
-  if (mOutgoing.size() >= kStreamLimit) {
+  if (mUnansweredMessages.size() >= kStreamLimit) {
     return false;
   }
-  const std::array headers{ Header(":method", "POST"),
-                            Header(":scheme", "http"),
-                            Header(":authority", "peer"),
-                            Header(":path", "/v1/message") };
-  nghttp2_data_provider body{ .source = {}, .read_callback = OnReadBody };
+  const std::array headers{ MakeHeaderField(":method", "POST"),
+                            MakeHeaderField(":scheme", "http"),
+                            MakeHeaderField(":authority", "peer"),
+                            MakeHeaderField(":path", "/v1/message") };
+  nghttp2_data_provider body{ .source = {}, .read_callback = ReadMessageBody };
   const std::int32_t stream =
     nghttp2_submit_request(mSession, nullptr, headers.data(), headers.size(), &body, nullptr);
   if (stream < 0) {
     return false;
   }
-  mOutgoing[stream] = { std::move(aBody), 0, aNow };
+  mUnansweredMessages[stream] = { std::move(aBody), 0, aNow };
   return true;
 }
 
-ssize_t PeerConnection::OnReadBody(nghttp2_session* /*aSession*/,
-                                   std::int32_t aStream,
-                                   std::uint8_t* aBuffer,
-                                   std::size_t aLength,
-                                   std::uint32_t* aFlags,
-                                   nghttp2_data_source* /*aSource*/,
-                                   void* aSelf)
+ssize_t PeerConnection::ReadMessageBody(nghttp2_session* /*aSession*/,
+                                        std::int32_t aStream,
+                                        std::uint8_t* aBuffer,
+                                        std::size_t aLength,
+                                        std::uint32_t* aFlags,
+                                        nghttp2_data_source* /*aSource*/,
+                                        void* aSelf)
 {
-  Outgoing& outgoing = static_cast<PeerConnection*>(aSelf)->mOutgoing[aStream];
+  OutgoingMessage& outgoing = static_cast<PeerConnection*>(aSelf)->mUnansweredMessages[aStream];
   const std::size_t count = std::min(aLength, outgoing.body.size() - outgoing.offset);
   std::copy_n(outgoing.body.begin() + static_cast<std::ptrdiff_t>(outgoing.offset), count, aBuffer);
   outgoing.offset += count;
@@ -106,37 +106,39 @@
   return static_cast<ssize_t>(count);
 }
 
-int PeerConnection::OnDataChunk(nghttp2_session* /*aSession*/,
-                                std::uint8_t /*aFlags*/,
-                                std::int32_t aStream,
-                                const std::uint8_t* aData,
-                                std::size_t aLength,
-                                void* aSelf)
+int PeerConnection::OnDataChunkReceived(nghttp2_session* /*aSession*/,
+                                        std::uint8_t /*aFlags*/,
+                                        std::int32_t aStream,
+                                        const std::uint8_t* aData,
+                                        std::size_t aLength,
+                                        void* aSelf)
 {
   auto* self = static_cast<PeerConnection*>(aSelf);
   if (self->mRole != PeerRole::kServer) {
     return 0;
   }
-  if (self->mIncomingBytes + aLength > kIncomingLimit) {
+  if (self->mIncompleteMessageBytes + aLength > kIncompleteMessageBytesLimit) {
     return NGHTTP2_ERR_CALLBACK_FAILURE;
   }
-  self->mIncomingBytes += aLength;
-  self->mIncoming[aStream].append(reinterpret_cast<const char*>(aData), aLength);
+  self->mIncompleteMessageBytes += aLength;
+  self->mIncompleteMessages[aStream].append(reinterpret_cast<const char*>(aData), aLength);
   return 0;
 }
 
-int PeerConnection::OnFrame(nghttp2_session* aSession, const nghttp2_frame* aFrame, void* aSelf)
+int PeerConnection::OnFrameReceived(nghttp2_session* aSession,
+                                    const nghttp2_frame* aFrame,
+                                    void* aSelf)
 {
   auto* self = static_cast<PeerConnection*>(aSelf);
-  const bool isEnd = (aFrame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
-  const bool isRequestEnd = self->mRole == PeerRole::kServer && isEnd &&
+  const bool isStreamEnd = (aFrame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
+  const bool isRequestEnd = self->mRole == PeerRole::kServer && isStreamEnd &&
                             (aFrame->hd.type == NGHTTP2_DATA || aFrame->hd.type == NGHTTP2_HEADERS);
   if (!isRequestEnd) {
     return 0;
   }
-  self->mReceiver(self->mIncoming[aFrame->hd.stream_id]);
-  self->ForgetIncoming(aFrame->hd.stream_id);
-  const std::array headers{ Header(":status", "204") };
+  self->mReceiver(self->mIncompleteMessages[aFrame->hd.stream_id]);
+  self->RemoveIncompleteMessage(aFrame->hd.stream_id);
+  const std::array headers{ MakeHeaderField(":status", "204") };
   nghttp2_submit_response(aSession, aFrame->hd.stream_id, headers.data(), headers.size(), nullptr);
   return 0;
 }
@@ -147,23 +149,23 @@
                                   void* aSelf)
 {
   auto* self = static_cast<PeerConnection*>(aSelf);
-  self->mOutgoing.erase(aStream);
-  self->ForgetIncoming(aStream);
+  self->mUnansweredMessages.erase(aStream);
+  self->RemoveIncompleteMessage(aStream);
   return 0;
 }
 
-void PeerConnection::ForgetIncoming(std::int32_t aStream)
+void PeerConnection::RemoveIncompleteMessage(std::int32_t aStream)
 {
-  const auto found = mIncoming.find(aStream);
-  if (found != mIncoming.end()) {
-    mIncomingBytes -= found->second.size();
-    mIncoming.erase(found);
+  const auto found = mIncompleteMessages.find(aStream);
+  if (found != mIncompleteMessages.end()) {
+    mIncompleteMessageBytes -= found->second.size();
+    mIncompleteMessages.erase(found);
   }
 }
 
 bool PeerConnection::OnReadable()
 {
-  std::array<std::uint8_t, kReadSize> buffer{};
+  std::array<std::uint8_t, kReadBufferSize> buffer{};
   const ssize_t count = recv(mSocket, buffer.data(), buffer.size(), 0);
   if (count == 0) {
     return false;
@@ -219,11 +221,11 @@
   return SendOutcome::kSent;
 }
 
-bool PeerConnection::IsSilent(TimePoint aNow, Duration aLimit) const
+bool PeerConnection::HasOverdueMessage(TimePoint aNow, Duration aLimit) const
 {
-  return std::any_of(mOutgoing.begin(), mOutgoing.end(), [&](const auto& aItem) {
-    return aNow - aItem.second.sentAt > aLimit;
-  });
+  return std::any_of(mUnansweredMessages.begin(),
+                     mUnansweredMessages.end(),
+                     [&](const auto& aItem) { return aNow - aItem.second.sentAt > aLimit; });
 }
 
 } // namespace rhubarbtrail
--- a/src/peer/peer_connection.h
+++ b/src/peer/peer_connection.h
@@ -46,12 +46,12 @@
   bool OnWritable();
 
   /* Returns whether a message was queued more than aLimit ago and has no response yet. */
-  bool IsSilent(TimePoint aNow, Duration aLimit) const;
+  bool HasOverdueMessage(TimePoint aNow, Duration aLimit) const;
 
   std::uint64_t sentBytes() const { return mSentBytes; }
   std::uint64_t receivedBytes() const { return mReceivedBytes; }
   /* Number of messages that were queued and have no response yet. */
-  std::size_t unanswered() const { return mOutgoing.size(); }
+  std::size_t unansweredMessages() const { return mUnansweredMessages.size(); }
 
 private:
   enum class SendOutcome : std::uint8_t
@@ -61,27 +61,27 @@
     kBroken,
   };
 
-  struct Outgoing
+  struct OutgoingMessage
   {
     std::vector<std::uint8_t> body;
     std::size_t offset = 0;
     TimePoint sentAt{};
   };
 
-  static ssize_t OnReadBody(nghttp2_session* aSession,
-                            std::int32_t aStream,
-                            std::uint8_t* aBuffer,
-                            std::size_t aLength,
-                            std::uint32_t* aFlags,
-                            nghttp2_data_source* aSource,
-                            void* aSelf);
-  static int OnDataChunk(nghttp2_session* aSession,
-                         std::uint8_t aFlags,
-                         std::int32_t aStream,
-                         const std::uint8_t* aData,
-                         std::size_t aLength,
-                         void* aSelf);
-  static int OnFrame(nghttp2_session* aSession, const nghttp2_frame* aFrame, void* aSelf);
+  static ssize_t ReadMessageBody(nghttp2_session* aSession,
+                                 std::int32_t aStream,
+                                 std::uint8_t* aBuffer,
+                                 std::size_t aLength,
+                                 std::uint32_t* aFlags,
+                                 nghttp2_data_source* aSource,
+                                 void* aSelf);
+  static int OnDataChunkReceived(nghttp2_session* aSession,
+                                 std::uint8_t aFlags,
+                                 std::int32_t aStream,
+                                 const std::uint8_t* aData,
+                                 std::size_t aLength,
+                                 void* aSelf);
+  static int OnFrameReceived(nghttp2_session* aSession, const nghttp2_frame* aFrame, void* aSelf);
   static int OnStreamClose(nghttp2_session* aSession,
                            std::int32_t aStream,
                            std::uint32_t aError,
@@ -89,15 +89,15 @@
 
   /* Sends the remaining bytes of the frame data that was taken from nghttp2. */
   SendOutcome SendUnsent();
-  void ForgetIncoming(std::int32_t aStream);
+  void RemoveIncompleteMessage(std::int32_t aStream);
 
   int mSocket;
   PeerRole mRole;
   Receiver mReceiver;
   nghttp2_session* mSession = nullptr;
-  std::map<std::int32_t, Outgoing> mOutgoing;
-  std::map<std::int32_t, std::string> mIncoming;
-  std::size_t mIncomingBytes = 0;
+  std::map<std::int32_t, OutgoingMessage> mUnansweredMessages;
+  std::map<std::int32_t, std::string> mIncompleteMessages;
+  std::size_t mIncompleteMessageBytes = 0;
   std::vector<std::uint8_t> mUnsent; ///< Frame data taken from nghttp2; sent up to mUnsentOffset.
   std::size_t mUnsentOffset = 0;
   std::uint64_t mSentBytes = 0;
--- a/src/peer/peer_transport.cpp
+++ b/src/peer/peer_transport.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kConnectionLimit = 2'048;
 /* Bytes that the kernel may buffer for each connection when the peer is slow to read. A complete
  * configuration fits. */
-constexpr int kSendBuffer = 4 << 20;
+constexpr int kSendBufferBytes = 4 << 20;
 
 TimePoint Now()
 {
@@ -36,15 +36,14 @@
     std::chrono::steady_clock::now().time_since_epoch()) };
 }
 
-void Configure(int aSocket)
+void SetSocketOptions(int aSocket)
 {
   const int on = 1;
   setsockopt(aSocket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  setsockopt(aSocket, SOL_SOCKET, SO_SNDBUF, &kSendBuffer, sizeof(kSendBuffer));
+  setsockopt(aSocket, SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof(kSendBufferBytes));
 }
 
-/* Parses "host:port". Returns false when the host is not an IPv4 address. The port is not checked.
- */
+/* Parses "host:port". Returns false when the host is not an IPv4 address. Accepts any port. */
 bool ParseAddress(const std::string& aAddress, sockaddr_in& aOut)
 {
   const auto colon = aAddress.rfind(':');
@@ -58,7 +57,7 @@
 }
 
 /* Starts a non-blocking connect. Returns the socket, or -1 on failure. */
-int Connect(const std::string& aAddress)
+int StartConnect(const std::string& aAddress)
 {
   sockaddr_in target{};
   if (!ParseAddress(aAddress, target)) {
@@ -68,7 +67,7 @@
   if (socket < 0) {
     return -1;
   }
-  Configure(socket);
+  SetSocketOptions(socket);
   const int result = connect(socket, reinterpret_cast<sockaddr*>(&target), sizeof(target));
   if (result < 0 && errno != EINPROGRESS) {
     close(socket);
@@ -81,36 +80,36 @@
 
 struct PeerTransport::Impl
 {
-  struct Pending
+  struct PendingMessage
   {
     std::string address;
     std::vector<std::uint8_t> body;
   };
 
-  Impl(PeerTransportOptions aOptions, std::function<void(Envelope)> aSink)
+  Impl(PeerTransportOptions aOptions, std::function<void(Envelope)> aOnEnvelope)
     : options(std::move(aOptions))
-    , sink(std::move(aSink))
+    , onEnvelope(std::move(aOnEnvelope))
   {
   }
 
   void Run();
   void Accept();
-  void SubmitPending();
-  void Deliver(const Pending& aPending);
+  void SubmitPendingMessages();
+  void SubmitMessage(const PendingMessage& aMessage);
   void ServeConnections(const std::vector<pollfd>& aPolled);
   std::vector<pollfd> PollSet() const;
-  void Receive(const std::string& aBody);
-  void CloseSilent();
+  void ReceiveMessage(const std::string& aBody);
+  void CloseOverdue();
 
   PeerTransportOptions options;
-  std::function<void(Envelope)> sink;
+  std::function<void(Envelope)> onEnvelope;
   int listener = -1;
-  int wakeup = -1;
+  int wakeupEvent = -1;
   std::atomic<bool> isStopping{ false };
   std::mutex mutex;
-  std::vector<Pending> pending;
-  std::map<std::string, std::unique_ptr<PeerConnection>> outgoing;
-  std::vector<std::unique_ptr<PeerConnection>> incoming;
+  std::vector<PendingMessage> pendingMessages;
+  std::map<std::string, std::unique_ptr<PeerConnection>> outgoingConnections;
+  std::vector<std::unique_ptr<PeerConnection>> incomingConnections;
   std::atomic<std::uint64_t> sentBytes{ 0 };
   std::atomic<std::uint64_t> receivedBytes{ 0 };
   std::atomic<std::uint64_t> sentMessages{ 0 };
@@ -118,11 +117,11 @@
   std::thread thread;
 };
 
-void PeerTransport::Impl::Receive(const std::string& aBody)
+void PeerTransport::Impl::ReceiveMessage(const std::string& aBody)
 {
   receivedBytes += aBody.size();
   if (auto envelope = DecodeEnvelope(aBody)) {
-    sink(std::move(*envelope));
+    onEnvelope(std::move(*envelope));
   }
 }
 
@@ -133,60 +132,60 @@
     if (socket < 0) {
       return;
     }
-    if (incoming.size() >= kConnectionLimit) {
+    if (incomingConnections.size() >= kConnectionLimit) {
       close(socket);
       continue;
     }
-    Configure(socket);
-    incoming.push_back(std::make_unique<PeerConnection>(
-      socket, PeerRole::kServer, [this](const std::string& aBody) { Receive(aBody); }));
+    SetSocketOptions(socket);
+    incomingConnections.push_back(std::make_unique<PeerConnection>(
+      socket, PeerRole::kServer, [this](const std::string& aBody) { ReceiveMessage(aBody); }));
   }
 }
 
-void PeerTransport::Impl::Deliver(const Pending& aPending)
+void PeerTransport::Impl::SubmitMessage(const PendingMessage& aMessage)
 {
-  auto& connection = outgoing[aPending.address];
+  auto& connection = outgoingConnections[aMessage.address];
   if (connection == nullptr) {
-    const int socket = Connect(aPending.address);
+    const int socket = StartConnect(aMessage.address);
     if (socket < 0) {
-      outgoing.erase(aPending.address);
+      outgoingConnections.erase(aMessage.address);
       ++lostMessages;
       return;
     }
     connection =
       std::make_unique<PeerConnection>(socket, PeerRole::kClient, [](const std::string&) {});
   }
-  if (!connection->Submit(aPending.body, Now())) {
+  if (!connection->Submit(aMessage.body, Now())) {
     ++lostMessages;
     return;
   }
-  sentBytes += aPending.body.size();
+  sentBytes += aMessage.body.size();
   ++sentMessages;
 }
 
-void PeerTransport::Impl::SubmitPending()
+void PeerTransport::Impl::SubmitPendingMessages()
 {
-  std::vector<Pending> batch;
+  std::vector<PendingMessage> batch;
   {
     const std::lock_guard lock(mutex);
-    batch.swap(pending);
+    batch.swap(pendingMessages);
   }
-  for (const Pending& message : batch) {
-    Deliver(message);
+  for (const PendingMessage& message : batch) {
+    SubmitMessage(message);
   }
 }
 
 std::vector<pollfd> PeerTransport::Impl::PollSet() const
 {
-  std::vector<pollfd> set{ { wakeup, POLLIN, 0 }, { listener, POLLIN, 0 } };
+  std::vector<pollfd> set{ { wakeupEvent, POLLIN, 0 }, { listener, POLLIN, 0 } };
   const auto add = [&set](const PeerConnection& aConnection) {
     const short events = aConnection.WantsWrite() ? POLLIN | POLLOUT : POLLIN;
     set.push_back({ aConnection.socket(), events, 0 });
   };
-  for (const auto& [address, connection] : outgoing) {
+  for (const auto& [address, connection] : outgoingConnections) {
     add(*connection);
   }
-  for (const auto& connection : incoming) {
+  for (const auto& connection : incomingConnections) {
     add(*connection);
   }
   return set;
@@ -209,20 +208,20 @@
     }
     return (polled->revents & POLLIN) == 0 || aConnection.OnReadable();
   };
-  std::erase_if(outgoing, [&](auto& aItem) {
+  std::erase_if(outgoingConnections, [&](auto& aItem) {
     if (serve(*aItem.second)) {
       return false;
     }
-    lostMessages += aItem.second->unanswered();
+    lostMessages += aItem.second->unansweredMessages();
     return true;
   });
-  std::erase_if(incoming, [&](auto& aConnection) { return !serve(*aConnection); });
+  std::erase_if(incomingConnections, [&](auto& aConnection) { return !serve(*aConnection); });
 }
 
-void PeerTransport::Impl::CloseSilent()
+void PeerTransport::Impl::CloseOverdue()
 {
-  std::erase_if(outgoing, [&](const auto& aItem) {
-    return aItem.second->IsSilent(Now(), options.answerLimit);
+  std::erase_if(outgoingConnections, [&](const auto& aItem) {
+    return aItem.second->HasOverdueMessage(Now(), options.responseTimeout);
   });
 }
 
@@ -233,19 +232,20 @@
     poll(set.data(), set.size(), kPollTimeoutMs);
     if ((set[0].revents & POLLIN) != 0) {
       std::uint64_t count = 0;
-      (void)!read(wakeup, &count, sizeof(count));
+      (void)!read(wakeupEvent, &count, sizeof(count));
     }
     ServeConnections(set);
-    CloseSilent();
+    CloseOverdue();
     if ((set[1].revents & POLLIN) != 0) {
       Accept();
     }
-    SubmitPending();
+    SubmitPendingMessages();
   }
 }
 
-PeerTransport::PeerTransport(PeerTransportOptions aOptions, std::function<void(Envelope)> aSink)
-  : mImpl(std::make_unique<Impl>(std::move(aOptions), std::move(aSink)))
+PeerTransport::PeerTransport(PeerTransportOptions aOptions,
+                             std::function<void(Envelope)> aOnEnvelope)
+  : mImpl(std::make_unique<Impl>(std::move(aOptions), std::move(aOnEnvelope)))
 {
 }
 
@@ -271,7 +271,7 @@
   if (!isBound) {
     return 0;
   }
-  mImpl->wakeup = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  mImpl->wakeupEvent = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   mImpl->thread = std::thread([this] { mImpl->Run(); });
   return ntohs(local.sin_port);
 }
@@ -280,10 +280,10 @@
 {
   {
     const std::lock_guard lock(mImpl->mutex);
-    mImpl->pending.push_back({ aAddress, EncodeEnvelope(aEnvelope) });
+    mImpl->pendingMessages.push_back({ aAddress, EncodeEnvelope(aEnvelope) });
   }
   const std::uint64_t one = 1;
-  (void)!write(mImpl->wakeup, &one, sizeof(one));
+  (void)!write(mImpl->wakeupEvent, &one, sizeof(one));
 }
 
 void PeerTransport::Stop()
@@ -293,12 +293,12 @@
   }
   mImpl->isStopping = true;
   const std::uint64_t one = 1;
-  (void)!write(mImpl->wakeup, &one, sizeof(one));
+  (void)!write(mImpl->wakeupEvent, &one, sizeof(one));
   mImpl->thread.join();
-  mImpl->outgoing.clear();
-  mImpl->incoming.clear();
+  mImpl->outgoingConnections.clear();
+  mImpl->incomingConnections.clear();
   close(mImpl->listener);
-  close(mImpl->wakeup);
+  close(mImpl->wakeupEvent);
 }
 
 PeerCounters PeerTransport::counters() const
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -15,7 +15,8 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  Duration answerLimit = 1500ms; ///< A message without a response for longer closes the connection.
+  Duration responseTimeout =
+    1500ms; ///< A message without a response for longer closes the connection.
 };
 
 struct PeerCounters
@@ -24,7 +25,7 @@
   std::uint64_t receivedBytes = 0;
   std::uint64_t sentMessages = 0;
   /* Messages that could not be queued on a connection, and those without a response when their
-   * connection failed. Those of connections closed after answerLimit are not counted. */
+   * connection failed. Those of connections closed after responseTimeout are not counted. */
   std::uint64_t lostMessages = 0;
 };
 
@@ -34,7 +35,7 @@
 class PeerTransport
 {
 public:
-  PeerTransport(PeerTransportOptions aOptions, std::function<void(Envelope)> aSink);
+  PeerTransport(PeerTransportOptions aOptions, std::function<void(Envelope)> aOnEnvelope);
   ~PeerTransport();
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
--- a/src/table/table_client.cpp
+++ b/src/table/table_client.cpp
@@ -38,7 +38,7 @@
 }
 
 /* Returns whether a transaction has a condition on a row or writes it. */
-bool Names(const TableTransaction& aTransaction, const RowKey& aKey)
+bool ConcernsRow(const TableTransaction& aTransaction, const RowKey& aKey)
 {
   const auto isKey = [&aKey](const auto& aItem) { return aItem.key == aKey; };
   return std::any_of(aTransaction.conditions.begin(), aTransaction.conditions.end(), isKey) ||
@@ -76,17 +76,18 @@
                                        .path = "/table/transaction",
                                        .body = body.dump(),
                                        .timeout = mOptions.timeout });
-  const bool isDecided = answer.outcome == HttpOutcome::kAnswered &&
-                         (answer.status == kHttpOk || answer.status == kHttpConflict);
-  if (!isDecided) {
+  const bool hasOutcome = answer.outcome == HttpOutcome::kAnswered &&
+                          (answer.status == kHttpOk || answer.status == kHttpConflict);
+  if (!hasOutcome) {
     return result;
   }
   try {
     result.rows = ParseRows(json::parse(answer.body).at("rows"));
-    const bool isOurs = std::all_of(result.rows.begin(), result.rows.end(), [&](const Row& aRow) {
-      return Names(aTransaction, aRow.key);
-    });
-    if (!isOurs) {
+    const bool isForThisTransaction =
+      std::all_of(result.rows.begin(), result.rows.end(), [&](const Row& aRow) {
+        return ConcernsRow(aTransaction, aRow.key);
+      });
+    if (!isForThisTransaction) {
       throw std::invalid_argument("the answer has a row that is not in the transaction");
     }
     result.outcome =
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -55,15 +55,18 @@
   const httplib::Headers notLoaded{ { "X-Refusal", "not-loaded" } };
   const std::string type = "text/event-stream";
   return {
-    { "whole", kWhole, { .body = "{}", .headers = own }, kCompleted },
-    { "another's answer", kWhole, { .body = "{}", .headers = other }, kMismatched },
-    { "truncated", kWhole, { .body = "{}", .fault = kTruncated }, kCut },
-    { "no length", kWhole, { .body = "{}", .fault = kNoLength }, kCut },
-    { "late", kWhole, { .body = "{}", .fault = kLate }, kSilent },
-    { "error", kWhole, { .status = 500, .body = "{}" }, kCut },
-    { "refusal by the engine's own checks", kWhole, { .status = 400, .body = "{}" }, kCompleted },
-    { "leaving", kWhole, { .status = 503, .headers = leaving }, kLeaving },
-    { "not loaded", kWhole, { .status = 503, .headers = notLoaded }, kNotRun },
+    { "whole", kBuffered, { .body = "{}", .headers = own }, kCompleted },
+    { "another's answer", kBuffered, { .body = "{}", .headers = other }, kMismatched },
+    { "truncated", kBuffered, { .body = "{}", .fault = kTruncated }, kCut },
+    { "no length", kBuffered, { .body = "{}", .fault = kNoLength }, kCut },
+    { "late", kBuffered, { .body = "{}", .fault = kLate }, kSilent },
+    { "error", kBuffered, { .status = 500, .body = "{}" }, kCut },
+    { "refusal by the engine's own checks",
+      kBuffered,
+      { .status = 400, .body = "{}" },
+      kCompleted },
+    { "leaving", kBuffered, { .status = 503, .headers = leaving }, kLeaving },
+    { "not loaded", kBuffered, { .status = 503, .headers = notLoaded }, kNotRun },
     { "stream", kStream, { .body = kWholeStream, .contentType = type }, kCompleted, 3 },
     { "no end mark", kStream, { .body = kEvents, .contentType = type }, kCut, 2 },
     { "end mark, then cut",
@@ -112,11 +115,11 @@
 
 TEST_CASE("an attempt that was not sent says so")
 {
-  const auto refused = MakeSession(AnswerForm::kWhole);
+  const auto refused = MakeSession(AnswerForm::kBuffered);
   CHECK(RunAttempt(*refused, MakeAttempt(ClosedAddress())).outcome ==
         AttemptOutcome::kNotConnected);
   const FakeServer server({ .body = "{}" });
-  const auto stopped = MakeSession(AnswerForm::kWhole);
+  const auto stopped = MakeSession(AnswerForm::kBuffered);
   stopped->StopAttempt(AttemptNumber{ 2 });
   CHECK(RunAttempt(*stopped, MakeAttempt(server.address())).outcome ==
         AttemptOutcome::kNotConnected);
--- a/tests/unit/contract_peer_test.cpp
+++ b/tests/unit/contract_peer_test.cpp
@@ -67,7 +67,7 @@
   for (const Case& item : { Case{ "many small", 500, 100 }, Case{ "large", 1, 7U << 20U } }) {
     CAPTURE(item.name);
     Receiver receiver(std::chrono::milliseconds{ 1 });
-    PeerTransport sender({ .answerLimit = 10s }, [](const Envelope&) {});
+    PeerTransport sender({ .responseTimeout = 10s }, [](const Envelope&) {});
     REQUIRE(sender.Start() != 0);
     for (std::size_t number = 1; number <= item.count; ++number) {
       const ConfigurationRow row{ .version = { number }, .document = std::string(item.bytes, 'x') };
