--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -124,6 +124,7 @@
  * with the first event, so a refusal before that event still has its own status. */
 void CallerExchange::ForwardFirstPart(const AnswerPart& aPart)
 {
+  // Without a stream event, an endpoint's error, a stored answer or a refusal is sent in one piece.
   const bool isBuffered =
     mSession->call().form == AnswerForm::kBuffered || mSession->delivered() == 0;
   if (aPart.finish && aPart.finish->code != ResultCode::kOk && (isBuffered || aPart.data.empty())) {
--- a/src/caller/request_check.cpp
+++ b/src/caller/request_check.cpp
@@ -86,6 +86,7 @@
   return {};
 }
 
+/* Sets the fingerprint of the request, the hash of its prompt prefix and the size of its body. */
 void SetBodyProperties(const http::Request& aRequest,
                        const std::string& aPath,
                        CheckedRequest& aChecked)
--- a/src/caller/session.h
+++ b/src/caller/session.h
@@ -16,10 +16,11 @@
 
 namespace rhubarbtrail {
 
+/* How the caller receives the answer. */
 enum class AnswerForm : std::uint8_t
 {
-  kBuffered,
-  kStream,
+  kBuffered, ///< In one piece, once the request has ended.
+  kStream,   ///< As server-sent events, while they arrive.
 };
 
 /* The call to be made at an endpoint. */
--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -32,6 +32,8 @@
 class IdleConnections
 {
 public:
+  /* Removes and returns the idle connection to an address. Returns a new one if there is none, or
+   * if it may not be reused. */
   std::shared_ptr<httplib::Client> Take(const std::string& aAddress, ConnectionReuse aReuse)
   {
     const auto found = mIdleClients.find(aAddress);
@@ -47,6 +49,7 @@
     return client;
   }
 
+  /* Keeps a connection for later attempts of this thread. */
   void Keep(const std::string& aAddress, std::shared_ptr<httplib::Client> aClient)
   {
     if (mIdleClients.size() >= kIdleConnectionLimit) {
