--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -1,4 +1,4 @@
-/* One caller's request at the front: it passes the session's answer on as it comes. */
+/* The HTTP exchange of one caller's request: forwards the session's answer to the caller. */
 #ifndef RHUBARBTRAIL_CALLER_CALLER_EXCHANGE_H
 #define RHUBARBTRAIL_CALLER_CALLER_EXCHANGE_H
 
@@ -15,63 +15,68 @@
 
 namespace rhubarbtrail {
 
-/* What all exchanges of a front share. */
+/* State that all exchanges of a server share. */
 struct ExchangeContext
 {
   boost::asio::io_context& loop;
   SessionMap& sessions;
-  std::function<void(Event)> post;
-  std::function<void(RequestSample)> finished; ///< Told of each request that has ended.
+  std::function<void(Event)> postEvent;
+  std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
 };
 
-/* What is kept of a request until it ends. */
-struct ExchangeWatch
+/* What the log and the metrics need of a request when it ends. */
+struct RequestRecord
 {
   RequestId id;
-  ClassId requestClass; ///< Empty for a request that was refused at the door.
-  std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
+  ClassId requestClass; ///< Empty for a request that failed CheckRequest().
+  std::chrono::steady_clock::time_point startedAt = std::chrono::steady_clock::now();
 };
 
-/* Logs and measures a request that has ended. */
-void NoteRequestEnd(const ExchangeContext& aContext, const ExchangeWatch& aWatch, ResultCode aCode);
+/* Logs the result code and the latency of a request that has ended, and reports them to the
+ * metrics. */
+void RecordRequestEnd(const ExchangeContext& aContext,
+                      const RequestRecord& aRecord,
+                      ResultCode aCode);
 
-/* Returns the header fields that every refusal bears. */
+/* Returns the header fields that every refusal has. */
 http::Fields RefusalFields(ResultCode aCode);
 
-/* Answers with a refusal. */
+/* Sends a refusal: the HTTP status of its result code, and a JSON error as the body. */
 void SendRefusal(http::Responder& aResponder,
                  const FinishRequest& aFinish,
                  const std::string& aDetail = {});
 
-/* Owns itself until the request has ended. Used by the loop's thread, but for the session, which
- * others feed. */
+/* The handlers that it sets keep it alive until the request has ended. It runs on the thread of the
+ * event loop, except ScheduleForwarding(), which the session calls from any thread. */
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>
 {
 public:
   CallerExchange(ExchangeContext& aContext,
-                 ExchangeWatch aWatch,
+                 RequestRecord aRecord,
                  std::shared_ptr<Session> aSession,
                  std::shared_ptr<http::Responder> aResponder);
 
-  /* Follows the session and the caller from now on. */
+  /* Starts to listen to the session and the caller's connection. */
   void Start();
 
 private:
-  void PumpSoon();
-  void Pump();
-  void Pass(const AnswerPart& aPart);
-  void PassFirst(const AnswerPart& aPart);
-  void SendWhole(http::AnswerHead aHead, const std::string& aType, const std::string& aBody);
+  void ScheduleForwarding();
+  void ForwardAvailableParts();
+  void ForwardPart(const AnswerPart& aPart);
+  void ForwardFirstPart(const AnswerPart& aPart);
+  void SendBufferedAnswer(http::AnswerHead aHead,
+                          const std::string& aType,
+                          const std::string& aBody);
   void End(ResultCode aCode);
   void OnGone();
 
   ExchangeContext& mContext;
-  ExchangeWatch mWatch;
+  RequestRecord mRecord;
   std::shared_ptr<Session> mSession;
   std::shared_ptr<http::Responder> mResponder;
-  std::atomic<bool> mIsPumpPosted{ false };
+  std::atomic<bool> mIsForwardingScheduled{ false };
   bool mIsHeadSent = false;
-  bool mIsGone = false;
+  bool mIsCallerDisconnected = false;
   bool mIsEnded = false;
 };
 
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -1,4 +1,4 @@
-/* The HTTP front for callers: one event loop for all connections. */
+/* The HTTP server for callers: one event loop serves all connections. */
 #include "caller/caller_server.h"
 
 #include "caller/caller_exchange.h"
@@ -23,14 +23,15 @@
 namespace asio = boost::asio;
 using nlohmann::json;
 
-/* Bytes that the headers of a request may take beside its body. */
+/* Largest size of the header of a request, in bytes. */
 constexpr std::size_t kHeaderLimit = 64U << 10U;
-/* Time for a request to arrive whole, and between two requests on one connection. */
-constexpr Duration kRequestTime = 30s;
-constexpr Duration kIdleTime = 60s;
-/* Time that callers get to take the last answers when the daemon stops. */
-constexpr Duration kFarewellTime = 3s;
-constexpr Duration kFarewellCheck = 10ms;
+/* Timeouts for the header and for the body of a request, and for an idle connection. */
+constexpr Duration kRequestTimeout = 30s;
+constexpr Duration kIdleTimeout = 60s;
+/* Time that callers have to receive the last answers when the daemon stops, and the interval of the
+ * check whether they have. */
+constexpr Duration kDrainTimeout = 3s;
+constexpr Duration kDrainCheckInterval = 10ms;
 
 } // namespace
 
@@ -44,7 +45,7 @@
     , snapshot(aSnapshot)
     , context{ .loop = loop,
                .sessions = aSessions,
-               .post = std::move(aPost),
+               .postEvent = std::move(aPost),
                .finished = options.finished }
     , server(loop,
              { .address = options.address + ":" + std::to_string(options.port),
@@ -53,38 +54,39 @@
              [this](const http::Request& aRequest, std::shared_ptr<http::Responder> aResponder) {
                Serve(aRequest, std::move(aResponder));
              })
-    , farewellTimer(loop)
+    , drainTimer(loop)
   {
     server.SetLimits({ .headerBytes = kHeaderLimit,
                        .bodyBytes = options.bodyLimit,
-                       .headerTime = kRequestTime,
-                       .bodyTime = kRequestTime,
-                       .idleTime = kIdleTime });
+                       .headerTime = kRequestTimeout,
+                       .bodyTime = kRequestTimeout,
+                       .idleTime = kIdleTimeout });
   }
 
   RequestId NextRequestId()
   {
     return RequestId{ options.requestIdPrefix + "-" +
-                      std::to_string(nextNumber.fetch_add(1, std::memory_order_relaxed)) };
+                      std::to_string(nextRequestNumber.fetch_add(1, std::memory_order_relaxed)) };
   }
 
   http::Rejection Rejection(unsigned aStatus);
   void Serve(const http::Request& aRequest, std::shared_ptr<http::Responder> aResponder);
   void ListModels(const http::Request& aRequest, http::Responder& aResponder);
-  void Leave(std::chrono::steady_clock::time_point aEnd);
+  void CloseWhenDrained(std::chrono::steady_clock::time_point aDeadline);
 
   CallerServerOptions options;
   const RcuPointer<Snapshot>& snapshot;
   asio::io_context loop{ 1 };
-  asio::executor_work_guard<asio::io_context::executor_type> work{ loop.get_executor() };
+  asio::executor_work_guard<asio::io_context::executor_type> workGuard{ loop.get_executor() };
   ExchangeContext context;
-  std::atomic<std::uint64_t> nextNumber{ 1 };
+  std::atomic<std::uint64_t> nextRequestNumber{ 1 };
   http::Server server;
-  asio::steady_timer farewellTimer;
+  asio::steady_timer drainTimer;
   std::thread thread;
 };
 
-/* Says in the product's own words why a request could not be read. */
+/* Makes the answer to a request that could not be parsed or is too large, in the format of all
+ * other refusals. */
 http::Rejection CallerServer::Impl::Rejection(unsigned aStatus)
 {
   constexpr unsigned kContentTooLarge = 413;
@@ -125,43 +127,43 @@
 void CallerServer::Impl::Serve(const http::Request& aRequest,
                                std::shared_ptr<http::Responder> aResponder)
 {
-  const std::string path = PathOf(aRequest);
+  const std::string path = DecodePath(aRequest);
   if (aRequest.method == "GET" && path == "/v1/models") {
     ListModels(aRequest, *aResponder);
     return;
   }
-  ExchangeWatch watch{ .id = NextRequestId(), .requestClass = {} };
+  RequestRecord record{ .id = NextRequestId(), .requestClass = {} };
   CheckResult checked = snapshot.Read(
     [&](const Snapshot& aSnapshot) { return CheckRequest(aSnapshot, aRequest, path); });
   if (!checked) {
     SendRefusal(
-      *aResponder, { .request = watch.id, .code = checked.error().code }, checked.error().detail);
-    NoteRequestEnd(context, watch, checked.error().code);
+      *aResponder, { .request = record.id, .code = checked.error().code }, checked.error().detail);
+    RecordRequestEnd(context, record, checked.error().code);
     return;
   }
-  auto session = std::make_shared<Session>(watch.id, std::move(checked->call));
+  auto session = std::make_shared<Session>(record.id, std::move(checked->call));
   context.sessions.Add(session);
-  checked->arrived.request = watch.id;
-  watch.requestClass = checked->arrived.requestClass;
+  checked->arrivedEvent.request = record.id;
+  record.requestClass = checked->arrivedEvent.requestClass;
   const auto exchange = std::make_shared<CallerExchange>(
-    context, std::move(watch), std::move(session), std::move(aResponder));
+    context, std::move(record), std::move(session), std::move(aResponder));
   exchange->Start();
-  context.post(std::move(checked->arrived));
+  context.postEvent(std::move(checked->arrivedEvent));
 }
 
-/* Closes all connections once their callers have taken the answers, or at aEnd. */
-void CallerServer::Impl::Leave(std::chrono::steady_clock::time_point aEnd)
+/* Closes all connections and stops the event loop once all answers are sent, or at aDeadline. */
+void CallerServer::Impl::CloseWhenDrained(std::chrono::steady_clock::time_point aDeadline)
 {
-  if (server.IsQuiet() || std::chrono::steady_clock::now() >= aEnd) {
+  if (server.IsQuiet() || std::chrono::steady_clock::now() >= aDeadline) {
     server.Close();
-    work.reset();
+    workGuard.reset();
     loop.stop();
     return;
   }
-  farewellTimer.expires_after(kFarewellCheck);
-  farewellTimer.async_wait([this, aEnd](boost::system::error_code aError) {
+  drainTimer.expires_after(kDrainCheckInterval);
+  drainTimer.async_wait([this, aDeadline](boost::system::error_code aError) {
     if (!aError) {
-      Leave(aEnd);
+      CloseWhenDrained(aDeadline);
     }
   });
 }
@@ -182,7 +184,7 @@
 std::uint16_t CallerServer::Start()
 {
   if (const std::string error = mImpl->server.Listen(); !error.empty()) {
-    Log(log_part::kDaemon)->error("Cannot listen for callers: {}.", error);
+    Log(log_part::kDaemon)->error("Cannot listen for caller connections: {}.", error);
     return 0;
   }
   mImpl->thread = std::thread([this] { mImpl->loop.run(); });
@@ -196,7 +198,7 @@
   }
   asio::post(mImpl->loop, [this] {
     mImpl->server.Drain();
-    mImpl->Leave(std::chrono::steady_clock::now() + kFarewellTime);
+    mImpl->CloseWhenDrained(std::chrono::steady_clock::now() + kDrainTimeout);
   });
   mImpl->thread.join();
 }
--- a/src/table/table_client.cpp
+++ b/src/table/table_client.cpp
@@ -1,4 +1,4 @@
-/* The table service over HTTP and JSON; docs/INTERFACES.md describes the protocol. */
+/* Calls the table service over HTTP and JSON. docs/INTERFACES.md describes the protocol. */
 #include "table/table_client.h"
 
 #include "codec/json_codec.h"
@@ -37,8 +37,8 @@
   return rows;
 }
 
-/* Returns whether a transaction touches a row. */
-bool Names(const TableTransaction& aTransaction, const RowKey& aKey)
+/* Returns whether a transaction has a condition on a row or writes it. */
+bool ConcernsRow(const TableTransaction& aTransaction, const RowKey& aKey)
 {
   const auto isKey = [&aKey](const auto& aItem) { return aItem.key == aKey; };
   return std::any_of(aTransaction.conditions.begin(), aTransaction.conditions.end(), isKey) ||
@@ -76,18 +76,19 @@
                                        .path = "/table/transaction",
                                        .body = body.dump(),
                                        .timeout = mOptions.timeout });
-  const bool isDecided = answer.outcome == HttpOutcome::kAnswered &&
-                         (answer.status == kHttpOk || answer.status == kHttpConflict);
-  if (!isDecided) {
+  const bool hasOutcome = answer.outcome == HttpOutcome::kAnswered &&
+                          (answer.status == kHttpOk || answer.status == kHttpConflict);
+  if (!hasOutcome) {
     return result;
   }
   try {
     result.rows = ParseRows(json::parse(answer.body).at("rows"));
-    const bool isOurs = std::all_of(result.rows.begin(), result.rows.end(), [&](const Row& aRow) {
-      return Names(aTransaction, aRow.key);
-    });
-    if (!isOurs) {
-      throw std::invalid_argument("the answer belongs to another call");
+    const bool isForThisTransaction =
+      std::all_of(result.rows.begin(), result.rows.end(), [&](const Row& aRow) {
+        return ConcernsRow(aTransaction, aRow.key);
+      });
+    if (!isForThisTransaction) {
+      throw std::invalid_argument("the answer has a row that is not in the transaction");
     }
     result.outcome =
       answer.status == kHttpOk ? TransactionOutcome::kCommitted : TransactionOutcome::kConflict;
