--- a/src/caller/request_check.cpp
+++ b/src/caller/request_check.cpp
@@ -69,15 +69,13 @@
       std::from_chars(deadline.data(), deadline.data() + deadline.size(), value);
     const bool isNumber = error == std::errc{} && end == deadline.data() + deadline.size();
     if (!isNumber || value < 1 || value > kDeadlineLimitMs) {
-      return Refuse(ResultCode::kRequestMalformed,
-                    "X-Deadline-Ms must be a whole number from 1 to 86400000");
+      return Refuse(ResultCode::kRequestMalformed, "X-Deadline-Ms must be 1 to 86400000");
     }
     aChecked.arrivedEvent.timeLeft = std::chrono::milliseconds{ value };
   }
   const std::string key = HeaderValue(aRequest, "Idempotency-Key");
   if (key.size() > kIdempotencyKeyLengthLimit) {
-    return Refuse(ResultCode::kRequestMalformed,
-                  "Idempotency-Key must not be longer than 128 characters");
+    return Refuse(ResultCode::kRequestMalformed, "Idempotency-Key has at most 128 characters");
   }
   aChecked.arrivedEvent.key = IdempotencyKey{ key };
   const std::string requestClass = HeaderValue(aRequest, "X-Request-Class");
@@ -115,7 +113,7 @@
   if (colon != std::string::npos) {
     artifact.adapter = AdapterId{ aName.substr(colon + 1) };
     if (!model->second.adapters.contains(artifact.adapter)) {
-      return Refuse(ResultCode::kModelUnknown, "the model has no adapter of this name");
+      return Refuse(ResultCode::kModelUnknown, "the model has no such adapter");
     }
   }
   return artifact;
@@ -128,13 +126,13 @@
     return Refuse(ResultCode::kRequestMalformed, "the body is not a JSON object");
   }
   if (!body.contains("model") || !body["model"].is_string()) {
-    return Refuse(ResultCode::kRequestMalformed, "model must be a string");
+    return Refuse(ResultCode::kRequestMalformed, "model must be a text");
   }
   if (body.contains("stream") && !body["stream"].is_boolean()) {
     return Refuse(ResultCode::kRequestMalformed, "stream must be true or false");
   }
   if (body.contains("max_tokens") && !body["max_tokens"].is_number_unsigned()) {
-    return Refuse(ResultCode::kRequestMalformed, "max_tokens must be a non-negative whole number");
+    return Refuse(ResultCode::kRequestMalformed, "max_tokens must be a whole number");
   }
   return body;
 }
@@ -163,8 +161,7 @@
   }
   const auto requestClass = configuration.classes.find(checked.arrivedEvent.requestClass);
   if (requestClass == configuration.classes.end()) {
-    return Refuse(ResultCode::kRequestMalformed,
-                  "X-Request-Class must name a configured request class");
+    return Refuse(ResultCode::kRequestMalformed, "X-Request-Class names no declared class");
   }
   checked.arrivedEvent.customer = *customerId;
   checked.arrivedEvent.artifact = *artifact;
@@ -214,7 +211,7 @@
            path.starts_with(aRoute.pathPrefix);
   });
   if (route == routes.end()) {
-    return Refuse(ResultCode::kServiceUnknown, "the service has no route for this method and path");
+    return Refuse(ResultCode::kServiceUnknown, "the service declares no such route");
   }
   checked.arrivedEvent.requestClass = route->requestClass;
   checked.arrivedEvent.customer = *customerId;
