--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -29,8 +29,9 @@
             static_cast<int>(aCode),
             Describe(aCode).name,
             latency.count());
-  if (aContext.finished) {
-    aContext.finished({ .code = aCode, .requestClass = aRecord.requestClass, .latency = latency });
+  if (aContext.onRequestEnded) {
+    aContext.onRequestEnded(
+      { .code = aCode, .requestClass = aRecord.requestClass, .latency = latency });
   }
 }
 
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -21,7 +21,7 @@
   boost::asio::io_context& loop;
   SessionMap& sessions;
   std::function<void(Event)> postEvent;
-  std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
+  std::function<void(RequestSample)> onRequestEnded; ///< Called for each request that has ended.
 };
 
 /* What the log and the metrics need of a request when it ends. */
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -46,10 +46,10 @@
     , context{ .loop = loop,
                .sessions = aSessions,
                .postEvent = std::move(aPost),
-               .finished = options.finished }
+               .onRequestEnded = options.onRequestEnded }
     , server(loop,
              { .address = options.address + ":" + std::to_string(options.port),
-               .connectionLimit = options.connections,
+               .connectionLimit = options.connectionLimit,
                .rejection = [this](unsigned aStatus) { return Rejection(aStatus); } },
              [this](const http::Request& aRequest, std::shared_ptr<http::Responder> aResponder) {
                Serve(aRequest, std::move(aResponder));
--- a/src/caller/caller_server.h
+++ b/src/caller/caller_server.h
@@ -17,10 +17,10 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  std::uint32_t connections = 4'096;           ///< Idle connections are closed beyond it.
-  std::uint64_t bodyLimit = 1U << 20U;         ///< Bytes.
-  std::string requestIdPrefix;                 ///< Makes request ids unique across processes.
-  std::function<void(RequestSample)> finished; ///< Called for each request that has ended.
+  std::uint32_t connectionLimit = 4'096;             ///< Idle connections are closed beyond it.
+  std::uint64_t bodyLimit = 1U << 20U;               ///< Bytes.
+  std::string requestIdPrefix;                       ///< Makes request ids unique across processes.
+  std::function<void(RequestSample)> onRequestEnded; ///< Called for each request that has ended.
 };
 
 class CallerServer
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -131,10 +131,10 @@
   , mCallerServer(
       { .address = mSettings.listenAddress,
         .port = mSettings.callerPort,
-        .connections = mSettings.callerConnections,
+        .connectionLimit = mSettings.callerConnections,
         .bodyLimit = mSettings.bodyLimit,
         .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
-        .finished = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
+        .onRequestEnded = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
       mSnapshot,
       mSessions,
       [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
@@ -351,7 +351,8 @@
   std::string runner = aAction.runner.str();
   mOrderThreads.Submit(
     [this, order = std::move(aAction)]() mutable {
-      OrderResult result = GiveOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
+      OrderResult result =
+        SendOrderToRunner({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       const bool isRunning = result.outcome == OrderOutcome::kAccepted;
       mLoop.Post(std::move(result));
       if (isRunning) {
@@ -369,7 +370,7 @@
   mOrderThreads.Submit(
     [this, order = std::move(aOrder)]() mutable {
       OrderResult result =
-        FollowOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
+        WaitForOrder({ .timeout = mSettings.callTimeout, .issuer = mSelf }, order);
       if (result.outcome == OrderOutcome::kAccepted) {
         PollOrder(std::move(order));
       } else {
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-OrderResult GiveOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
+OrderResult SendOrderToRunner(const OrderClientOptions& aOptions, const SendOrder& aOrder)
 {
   const json body{ { "order", aOrder.order.str() },
                    { "kind", kOrderKindNames[static_cast<std::size_t>(aOrder.kind)] },
@@ -85,7 +85,7 @@
                                     .timeout = aOptions.timeout }));
 }
 
-OrderResult FollowOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
+OrderResult WaitForOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
 {
   const std::string path =
     "/orders/" + aOrder.order.str() + "?wait_ms=" + std::to_string(kOrderStatusWait / 1ms);
--- a/src/endpoint/order_client.h
+++ b/src/endpoint/order_client.h
@@ -14,11 +14,11 @@
 };
 
 /* Sends an order. kAccepted means that the engine has accepted it and is still running it. */
-OrderResult GiveOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder);
+OrderResult SendOrderToRunner(const OrderClientOptions& aOptions, const SendOrder& aOrder);
 
 /* Waits up to 1 s for the end of an accepted order, on top of the timeout of the call. kAccepted
  * means that it is still running. */
-OrderResult FollowOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder);
+OrderResult WaitForOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder);
 
 } // namespace rhubarbtrail
 
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -44,7 +44,7 @@
   , mLink(mServices.loop,
           { .address = mOptions.address },
           { .onMessage = [this](const std::string& aBytes) { OnMessage(aBytes); },
-            .onBroken =
+            .onConnectionEnded =
               [this](const std::string& aAddress) {
                 if (mHasRemoteDispatcher && aAddress == mDispatcherLease.address) {
                   LoseDispatcher("connection_ended");
@@ -102,7 +102,7 @@
   if (mHasRemoteDispatcher && now - mLastHeartbeatAt > kDispatcherTimeout) {
     LoseDispatcher("silent");
   }
-  mLink.CheckSilence(now);
+  mLink.CloseOverdueConnections(now);
   mTimer.expires_after(kTickInterval);
   mTimer.async_wait([this](boost::system::error_code aError) {
     if (!aError && !mIsClosed) {
--- a/src/peer/fleet_link.cpp
+++ b/src/peer/fleet_link.cpp
@@ -275,7 +275,7 @@
 void FleetLink::Impl::OnConnectionEnded(const std::string& aAddress)
 {
   if (outgoingConnections.erase(aAddress) > 0 && !isClosed) {
-    handlers.onBroken(aAddress);
+    handlers.onConnectionEnded(aAddress);
   }
 }
 
@@ -328,7 +328,7 @@
   }
 }
 
-void FleetLink::CheckSilence(TimePoint aNow)
+void FleetLink::CloseOverdueConnections(TimePoint aNow)
 {
   const auto connections = mImpl->outgoingConnections;
   for (const auto& [address, outgoing] : connections) {
--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -19,7 +19,7 @@
   std::function<void(const std::string& aBytes)> onMessage;
   /* Called when a connection that this daemon opened, or tried to open, has ended. Messages that
    * the other daemon has not acknowledged may be lost. */
-  std::function<void(const std::string& aAddress)> onBroken;
+  std::function<void(const std::string& aAddress)> onConnectionEnded;
 };
 
 struct FleetLinkOptions
@@ -45,11 +45,11 @@
   std::string Listen();
   /* Sends a message. Opens a connection if there is none, and queues the message until then. */
   void Send(const std::string& aAddress, std::vector<std::uint8_t> aBytes);
-  /* Closes the connection to an address without calling onBroken. */
+  /* Closes the connection to an address without calling onConnectionEnded. */
   void Disconnect(const std::string& aAddress);
   /* Closes outgoing connections with a message that has had no response for longer than
    * responseTimeout. Must be called periodically. */
-  void CheckSilence(TimePoint aNow);
+  void CloseOverdueConnections(TimePoint aNow);
   void Close();
 
 private:
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -194,11 +194,12 @@
     CAPTURE(item.name);
     const FakeServer server(item.answer);
     const SendOrder order{ .address = server.address(), .order = OrderId{ "o" } };
-    CHECK(static_cast<int>(GiveOrder(options, order).outcome) == static_cast<int>(item.outcome));
+    CHECK(static_cast<int>(SendOrderToRunner(options, order).outcome) ==
+          static_cast<int>(item.outcome));
   }
   const SendOrder order{ .address = ClosedAddress(), .order = OrderId{ "o" } };
-  CHECK(GiveOrder(options, order).outcome == kRefused);
-  CHECK(FollowOrder(options, order).outcome == kUnknown);
+  CHECK(SendOrderToRunner(options, order).outcome == kRefused);
+  CHECK(WaitForOrder(options, order).outcome == kUnknown);
 }
 
 } // namespace rhubarbtrail
