--- a/src/settings/settings_base.h
+++ b/src/settings/settings_base.h
@@ -33,7 +33,7 @@
   double cpuShare = 1.0;                 ///< Processor cores of the host, with decimals.
   std::uint32_t descriptorLimit = 1'024; ///< Files and sockets that may be open.
   Duration shutdownGrace = 8s;           ///< Time from SIGTERM to SIGKILL.
-  Duration drainLimit = 2s; ///< Time after which a draining runner must get no more requests.
+  Duration drainLimit = 2s; ///< Time within which requests to a draining runner must stop.
   Duration leaseSpacing =
     3s; ///< Minimum time between orders of two successive holders to one runner.
   Duration retryWindow = 10s; ///< Time over which retries are counted.
