--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -112,7 +112,7 @@
       aDaemon.lease.OnRead(now, row, version);
       return;
     }
-    if (write->expected != version) {
+    if (write->expectedVersion != version) {
       aDaemon.lease.OnConflict(now, row, version);
       return;
     }
