--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -1,4 +1,5 @@
-/* The fault matrix: every fault at every step, then pairs of faults from printed seeds. */
+/* The fault matrix: every single fault at every step, then two or three faults chosen by seeds. The
+ * seeds are printed. */
 #include "tests/matrix/world.h"
 
 #include <doctest/doctest.h>
@@ -14,14 +15,14 @@
 
 namespace {
 
-/* Plays scenarios and keeps count. */
+/* Runs scenarios and adds up their results. */
 struct Tally
 {
   std::uint64_t cells = 0;
   std::uint64_t events = 0;
   std::uint64_t answered = 0;
   std::uint64_t refused = 0;
-  std::map<std::string, std::uint32_t> violations; ///< By promise.
+  std::map<std::string, std::uint32_t> violations; ///< Number by invariant.
 
   void Add(const Scenario& aScenario)
   {
@@ -47,7 +48,7 @@
     MESSAGE(std::string{ aName },
             ": ",
             cells,
-            " cells, ",
+            " scenarios, ",
             events,
             " events, ",
             answered,
@@ -64,7 +65,8 @@
   return text == nullptr ? aElse : std::strtoull(text, nullptr, 10);
 }
 
-/* Every step with every fault, for both kinds of runners. */
+/* Returns every step with every fault, for runners that check fencing tokens and for those that do
+ * not. */
 std::vector<Scenario> AllCells(std::uint64_t aSeed)
 {
   std::vector<Scenario> cells;
@@ -81,7 +83,8 @@
   return cells;
 }
 
-/* A step with two or three faults, all chosen by the seed. */
+/* Returns a step with two or three faults chosen by the seed. Every eighth seed adds a runner that
+ * cannot be reached. */
 Scenario RandomScenario(std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
@@ -126,15 +129,22 @@
   CHECK(tally.violations.empty());
 }
 
-/* Seeds of pairs and triples that broke a promise once; each failed before its mend. */
+/* Seeds that once violated an invariant. Each failed until its cause was fixed. */
 TEST_CASE("matrix: seeds that failed before")
 {
   Tally tally;
-  // Cut stream by a failed inventory; replica lost after a takeover; claim released after a
-  // conviction; "not run" after a run; placement not written again after a lost answer;
-  // an inventory older than the order; a leaving notice that was lost; a list that lags behind one
-  // that said "leaving"; a host that the world froze after the faults had ended; a silence that was
-  // counted while nobody asked.
+  // These failures were found:
+  // - A stream was cut after an inventory had failed.
+  // - A replica was lost after a takeover.
+  // - A claim was released after its request had been quarantined.
+  // - A request that had run was reported as not run.
+  // - A placement was not written again after the answer to its first write had been lost.
+  // - An inventory older than an order was used.
+  // - The notice that an endpoint was leaving was lost.
+  // - A host list was older than the one that had listed an endpoint as leaving.
+  // - The simulation froze a host after the faults had ended.
+  // - A router counted the time without an answer from the holder also while it sent no placement
+  //   requests.
   for (const std::uint64_t seed : { 9101,
                                     8437,
                                     8538,
@@ -154,7 +164,7 @@
   CHECK(tally.violations.empty());
 }
 
-/* The long random run: make soak SEED=... MINUTES=... */
+/* Random scenarios for a given time: make soak SEED=... MINUTES=... */
 TEST_CASE("matrix: soak" * doctest::skip())
 {
   Tally tally;
@@ -168,13 +178,13 @@
   CHECK(tally.violations.empty());
 }
 
-/* A mechanism, and the promise that must be seen broken when it is off. */
+/* A mechanism, and the invariant that must be violated when the mechanism is disabled. */
 struct Mutation
 {
   Mechanism mechanism;
   const char* name;
   const char* promise;
-  std::vector<Fault> faults = {}; ///< Empty: pairs and triples by seed.
+  std::vector<Fault> faults = {}; ///< Empty: chosen by the seed, as in RandomScenario().
   OrderCheck check = OrderCheck::kChecked;
   std::uint64_t firstSeed = 1;
 };
@@ -214,7 +224,8 @@
   { Mechanism::kShutdownDrain, "shutdown drain", "shutdown" },
 };
 
-/* Searches for a scenario in which the mechanism is missed. */
+/* Searches for a scenario that violates the invariant when the mechanism is disabled. The same
+ * scenario must violate nothing when the mechanism is enabled. */
 void CheckNoticed(const Mutation& mutation)
 {
   constexpr std::uint64_t kTries = 1'500;
@@ -230,7 +241,6 @@
     for (const std::string& violation : Play(scenario).violations) {
       if (violation.starts_with(mutation.promise)) {
         found = Describe(scenario) + ": " + violation;
-        // The same scenario holds the promise with the mechanism on.
         scenario.disabled.reset();
         CHECK(Play(scenario).violations.empty());
         break;
@@ -238,10 +248,10 @@
     }
   }
   MESSAGE(std::string{ mutation.name },
-          " off, tries ",
+          " disabled, scenarios tried: ",
           seed - mutation.firstSeed,
           ": ",
-          found.empty() ? "NOT NOTICED" : found);
+          found.empty() ? "NO VIOLATION FOUND" : found);
   CHECK_FALSE(found.empty());
 }
 
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -1,4 +1,4 @@
-/* The machinery of the world: time, processes, and the nodes' actions on their way. */
+/* Simulated time, daemon processes, and how the actions of the Nodes are carried out. */
 #include "tests/matrix/world.h"
 
 #include <algorithm>
@@ -64,8 +64,8 @@
   for (const Fault fault : mScenario.faults) {
     After(kStep + Between(-100ms, mScenario.spread), [this, fault] { Begin(fault); });
   }
-  // When all is well again, every model must be served again. A freeze that has waited for an order
-  // until then does not come any more.
+  // All faults have ended by now, so every model must be served again. A freeze that still waits
+  // for an order is cancelled.
   After(26s - 1ms, [this] { mFreezeOnOrder.reset(); });
   for (std::size_t host = 0; host < mHosts.size(); ++host) {
     After(26s, [this, host] {
@@ -82,7 +82,7 @@
     mQueue.pop();
     mNow = due.time;
     if (++mVerdict.events > kMostEvents) {
-      Violate("busy loop", "too many events");
+      Violate("busy loop", "the run exceeded its limit of events");
       break;
     }
     due.act();
@@ -179,10 +179,11 @@
     mCalls[arrived->request].due = mNow + arrived->timeLeft * 11 / 10 + 100ms;
   }
   if (arrived != nullptr && mCalls[arrived->request].answers == 0) {
-    // It was admitted, so the configuration must be a current one.
+    // The daemon admitted the request, so its configuration must not be out of date.
     for (const auto& [version, acceptedAt] : mAcceptedAt) {
       if (mNow - acceptedAt > 5s && host.version.value < version) {
-        Violate("configuration", host.id.str() + " serves an old version");
+        Violate("configuration",
+                host.id.str() + " admitted a request with an outdated configuration");
       }
     }
   }
@@ -236,7 +237,10 @@
     }
     if (endpoint->leavingSince) {
       if (endpoint->noticedAt && mNow - *endpoint->noticedAt > 3s && !mHosts[aHost].isPeerCut) {
-        Violate("leaving", endpoint->id.str() + " got a request of " + mHosts[aHost].id.str());
+        Violate("leaving",
+                endpoint->id.str() +
+                  " got a request more than 3 s after its leaving could be known, from " +
+                  mHosts[aHost].id.str());
       }
       endpoint->noticedAt = endpoint->noticedAt.value_or(mNow);
       end(AttemptOutcome::kLeaving, 1ms);
@@ -256,10 +260,10 @@
     }
     ++call.runs;
     if (call.saidNotRun) {
-      Violate("not run", aAction.request.str() + " ran after a refusal");
+      Violate("not run", aAction.request.str() + " ran after it had been reported as not run");
     }
     if (!call.key.empty() && ++mRunsByKey[call.key] > 1) {
-      Violate("at most once", call.key.str() + " ran again");
+      Violate("at most once", call.key.str() + " ran more than once");
     }
     endpoint->running[aAction.request] = { aHost, model };
     const bool isSilent = Chance(mSilence);
@@ -295,21 +299,22 @@
   Call& call = mCalls[aAction.request];
   const ResultCodeInfo& info = rhubarbtrail::Describe(aAction.code);
   if (++call.answers > 1) {
-    Violate("one answer", aAction.request.str() + " was answered again");
+    Violate("one answer", aAction.request.str() + " was answered more than once");
   }
   const bool isOk = aAction.code == ResultCode::kOk;
   (isOk ? mVerdict.answered : mVerdict.refused) += 1;
   if (info.execution == Execution::kNotRun) {
     call.saidNotRun = true;
     if (call.runs > 0) {
-      Violate("not run", aAction.request.str() + " ran and got " + std::string{ info.name });
+      Violate("not run",
+              aAction.request.str() + " ran, but its result code is " + std::string{ info.name });
     }
   }
-  const bool isFresh = mNow - mHosts[aHost].resumedAt < 4s; // Just back from a pause.
+  const bool isFresh = mNow - mHosts[aHost].resumedAt < 4s; // Shortly after a freeze.
   if (call.mustSucceed && !isOk && !isFresh) {
     Violate("recovery",
-            aAction.request.str() + " at " + mHosts[aHost].id.str() + " got " +
-              std::string{ info.name });
+            aAction.request.str() + " at " + mHosts[aHost].id.str() +
+              " was refused after the faults had ended: " + std::string{ info.name });
   }
   if (!isOk && !call.key.empty()) {
     After(300ms, [this, request = aAction.request] { Resend(request); });
@@ -456,7 +461,7 @@
 {
   Host& host = mHosts[aHost];
   if (aAction.configuration->version < host.version) {
-    Violate("configuration", host.id.str() + " went back to an older version");
+    Violate("configuration", host.id.str() + " replaced its configuration by an older one");
   }
   host.version = aAction.configuration->version;
 }
@@ -472,7 +477,7 @@
   for (const auto& [id, call] : mCalls) {
     if (call.host == aHost && call.generation == host.generation && call.due > 0us &&
         call.answers == 0) {
-      Violate("shutdown", host.id.str() + " ended before " + id.str());
+      Violate("shutdown", host.id.str() + " ended without an answer to " + id.str());
     }
   }
   host.isStopping = false;
--- a/tests/matrix/world.h
+++ b/tests/matrix/world.h
@@ -1,6 +1,7 @@
-/* A small deterministic world around several Nodes: one thread, one queue of events ordered by
- * time, one seeded generator. It carries out the nodes' actions on fakes of the table, the runners
- * and a plain service, brings about faults, and notes every broken promise. */
+/* Deterministic simulation of several daemons. It has one thread, one queue of tasks ordered by
+ * time and one seeded random generator. It carries out the actions of the daemons' Nodes on
+ * simulated versions of the table service, the runners and a plain service, injects faults, and
+ * records every violated invariant. */
 #ifndef RHUBARBTRAIL_TESTS_MATRIX_WORLD_H
 #define RHUBARBTRAIL_TESTS_MATRIX_WORLD_H
 
@@ -20,6 +21,7 @@
 
 namespace rhubarbtrail::matrix {
 
+/* Operation of the daemons during which the faults are injected. */
 enum class Step : std::uint8_t
 {
   kLoad,
@@ -34,20 +36,20 @@
 enum class Fault : std::uint8_t
 {
   kNone,
-  kDeath,
-  kFreeze,
-  kCut,
-  kSilence,
-  kTableDown,
-  kTableSlow,
-  kAnswerLost,
-  kStoreSlow,
-  kEndpointCrash,
-  kLeaving,
-  kLaggingList,
-  kRacingOperators,
-  kLateOrders,
-  kEndpointCut, ///< An endpoint runs on and cannot be reached.
+  kDeath,         ///< A daemon process is killed and started again later.
+  kFreeze,        ///< A daemon process is paused, at once or when it sends its next order.
+  kCut,           ///< A daemon cannot reach its peers, the table, the runners, or several of these.
+  kSilence,       ///< Half of the runs return no bytes, and 30 % of the messages are lost.
+  kTableDown,     ///< The table service does not answer.
+  kTableSlow,     ///< The table service answers late, in part after the time limit.
+  kAnswerLost,    ///< Half of the answers to table transactions are lost.
+  kStoreSlow,     ///< Loading a model takes six times as long.
+  kEndpointCrash, ///< An endpoint loses its process and starts again.
+  kLeaving,       ///< An endpoint announces that it is leaving, and ends 7 s later.
+  kLaggingList,   ///< An endpoint leaves while the daemons get host lists that are 8 s old.
+  kRacingOperators, ///< Two operators change the configuration at the same time.
+  kLateOrders,      ///< Orders arrive late, in part after the time limit.
+  kEndpointCut,     ///< A runner keeps running but cannot be reached.
   kCount,
 };
 
@@ -61,43 +63,43 @@
   std::vector<Fault> faults;
   OrderCheck check = OrderCheck::kChecked;
   MechanismSet disabled;
-  Duration spread = 1500ms; ///< Time within which the faults begin.
+  Duration spread = 1500ms; ///< The faults begin within this time after the step.
 };
 
-/* What a run came to. */
+/* Result of the run of one scenario. */
 struct Verdict
 {
-  std::vector<std::string> violations; ///< "promise: what was seen at which time".
-  std::uint64_t events = 0;
-  std::uint32_t answered = 0; ///< Requests that got their whole answer.
-  std::uint32_t refused = 0;
+  std::vector<std::string> violations; ///< "invariant: what was observed at which time".
+  std::uint64_t events = 0;            ///< Tasks that the simulation ran.
+  std::uint32_t answered = 0;          ///< Requests that ended with the result code kOk.
+  std::uint32_t refused = 0;           ///< Requests that ended with any other result code.
 };
 
-/* Plays a scenario from start to end. */
+/* Runs a scenario from start to end. */
 Verdict Play(const Scenario& aScenario);
 
-/* Describes a scenario so that it can be played again. */
+/* Returns the step, faults, order check and seed of a scenario, as text for a report. */
 std::string Describe(const Scenario& aScenario);
 
-using Clock = Duration; ///< Time of the world since its start.
+using Clock = Duration; ///< Simulated time since the start of the run.
 
-/* A daemon process, or the place where one stood. */
+/* A host that runs one daemon process. The host remains while the process is dead. */
 struct Host
 {
   DaemonId id;
-  std::unique_ptr<Node> node; ///< None while the process is dead.
-  std::uint32_t generation = 0;
-  double rate = 1.0; ///< Of its clock.
-  Duration offset{};
+  std::unique_ptr<Node> node;   ///< Null while the process is dead.
+  std::uint32_t generation = 0; ///< Number of starts of the process.
+  double rate = 1.0;            ///< Speed of its clock relative to simulated time.
+  Duration offset{};            ///< What its clock shows at the start of the simulation.
   bool isFrozen = false;
   bool isStopping = false;
   bool isPeerCut = false;
   bool isTableCut = false;
   bool isRunnerCut = false;
-  Clock resumedAt{};
+  Clock resumedAt{}; ///< End of the last freeze.
   Clock bootedAt{};
-  std::vector<std::function<void()>> backlog; ///< What waits for the frozen process.
-  std::uint64_t wakeNumber = 0;
+  std::vector<std::function<void()>> backlog; ///< Tasks deferred until the process is resumed.
+  std::uint64_t wakeNumber = 0;               ///< Only the newest wake-up request is delivered.
   ConfigVersion version;
   Readiness readiness = Readiness::kStarting;
 };
@@ -110,36 +112,36 @@
   std::set<AdapterId> adapters;
 };
 
-/* An endpoint: a runner, or one of the plain service. */
+/* A simulated endpoint: a runner of the models, or an endpoint of the plain service. */
 struct FakeEndpoint
 {
   EndpointId id;
   ServiceId service;
-  std::uint32_t boot = 1;
+  std::uint32_t boot = 1; ///< Increases with each crash.
   bool isAlive = true;
   bool isCut = false;
   bool isListed = true;
   std::optional<Clock> leavingSince;
-  std::optional<Clock> noticedAt; ///< When the first daemon could know that it is leaving.
-  Fence fence;
+  std::optional<Clock> noticedAt; ///< Earliest time at which a daemon can know that it is leaving.
+  Fence fence;                    ///< Highest fencing token of the orders that it got.
   std::map<ModelId, FakeModel> models;
-  std::map<OrderId, OrderOutcome> orders;
-  std::map<RequestId, std::pair<std::size_t, ModelId>> running; ///< With host and model.
+  std::map<OrderId, OrderOutcome> orders; ///< Outcomes, given again when an order is repeated.
+  std::map<RequestId, std::pair<std::size_t, ModelId>> running; ///< Host and model by request.
 };
 
-/* A request as its caller sees it. */
+/* A request from the caller's point of view. */
 struct Call
 {
   std::size_t host = 0;
   std::uint32_t generation = 0;
   Artifact artifact;
   IdempotencyKey key;
-  Duration work{};
-  Clock due{}; ///< When the process that read it must have answered.
-  std::uint32_t answers = 0;
-  std::uint32_t runs = 0;
-  bool saidNotRun = false;
-  bool mustSucceed = false;
+  Duration work{};           ///< Time that a run takes on the endpoint.
+  Clock due{};               ///< When the daemon must have answered. Zero until it has the request.
+  std::uint32_t answers = 0; ///< A refused connection counts as an answer.
+  std::uint32_t runs = 0;    ///< Runs that an endpoint began.
+  bool saidNotRun = false;   ///< The caller was told that the request did not run.
+  bool mustSucceed = false;  ///< Sent after all faults have ended, so it must be answered.
   std::uint32_t resends = 0;
 };
 
@@ -161,7 +163,7 @@
     }
   };
 
-  // world.cpp: the machinery
+  // world.cpp: simulated time, processes and actions
   void After(Duration aDelay, std::function<void()> aAct);
   void Violate(const std::string& aPromise, const std::string& aWhat);
   Duration Between(Duration aLow, Duration aHigh);
@@ -172,7 +174,8 @@
   void Freeze(std::size_t aHost, Duration aLength);
   void Deliver(std::size_t aHost, std::uint32_t aGeneration, Event aEvent, Duration aDelay);
   void Apply(std::size_t aHost, const Event& aEvent);
-  /* Runs an effect of the host's process unless it is dead; later when it is frozen. */
+  /* Schedules something that the host's process sends. It is dropped when the process has died in
+   * the meantime, and deferred while the process is frozen. */
   void Depart(std::size_t aHost, std::function<void()> aAct);
   void PublishHosts();
   std::size_t HolderOr(std::size_t aElse) const;
@@ -189,7 +192,7 @@
   void Carry(std::size_t aHost, const PublishReadiness& aAction);
   void Carry(std::size_t aHost, const ShutdownComplete& aAction);
 
-  // world_platform.cpp: the fakes
+  // world_platform.cpp: table service, endpoints and host list
   TransactionResult Commit(const TableTransaction& aTransaction);
   OrderResult Execute(std::size_t aHost, const SendOrder& aOrder);
   void CheckPlacement(const SendOrder& aOrder);
@@ -200,7 +203,7 @@
   void AcceptConfiguration(bool aIsRace);
   FakeEndpoint* FindEndpoint(const EndpointId& aEndpoint);
 
-  // world_script.cpp: steps, faults and callers
+  // world_script.cpp: steps, faults and client requests
   RequestId Send(std::size_t aHost,
                  const Artifact& aArtifact,
                  IdempotencyKey aKey,
@@ -226,15 +229,16 @@
   std::map<IdempotencyKey, std::uint32_t> mRunsByKey;
   std::set<std::pair<RequestId, std::uint32_t>> mStopped;
   std::vector<std::pair<Clock, std::vector<HostEntry>>> mLists;
-  std::optional<std::size_t> mFreezeOnOrder; ///< Freezes this host between deciding and sending.
-  Duration mListLag = 300ms;
-  Duration mOrderDelay{};
+  /* This host is frozen when it has decided on its next order, before the order is sent. */
+  std::optional<std::size_t> mFreezeOnOrder;
+  Duration mListLag = 300ms; ///< Age of the host lists that the daemons get.
+  Duration mOrderDelay{};    ///< Upper limit of the delay added to each order.
   bool mIsTableDown = false;
-  Duration mTableDelay{};
-  double mLostAnswers = 0;
-  double mSilence = 0;
-  double mLostMessages = 0;
-  double mLoadFactor = 1;
+  Duration mTableDelay{};   ///< Upper limit of the delay added in each direction.
+  double mLostAnswers = 0;  ///< Probability that the answer to a transaction is lost.
+  double mSilence = 0;      ///< Probability that a run returns no bytes.
+  double mLostMessages = 0; ///< Probability that a message or an answer to an order is lost.
+  double mLoadFactor = 1;   ///< Multiplies the time that a model load takes.
 };
 
 } // namespace rhubarbtrail::matrix
--- a/tests/matrix/world_platform.cpp
+++ b/tests/matrix/world_platform.cpp
@@ -1,4 +1,4 @@
-/* The fakes of the world: the table, the runners and the host list. */
+/* The simulated table service, endpoints and host list. */
 #include "tests/matrix/world.h"
 
 #include <algorithm>
@@ -67,7 +67,9 @@
   return result;
 }
 
-/* An unchecked runner may only act on what is written, or a successor could decide otherwise. */
+/* A runner that does not check fencing tokens must only get orders that are written in the
+ * placement row. Otherwise the next lease holder does not know of the order and can decide
+ * differently. */
 void World::CheckPlacement(const SendOrder& aOrder)
 {
   const auto row = mRows.find(PlacementKey(aOrder.cell));
@@ -81,7 +83,9 @@
         return aEntry.runner == aOrder.runner && aEntry.model == aOrder.artifact.model;
       });
   if (!isWritten) {
-    Violate("written order", aOrder.runner.str() + " acts on " + aOrder.artifact.model.str());
+    Violate("written order",
+            aOrder.runner.str() + " got an order without a placement entry for " +
+              aOrder.artifact.model.str());
   }
 }
 
@@ -136,7 +140,8 @@
     if (!isLoad && runner.models.erase(model) > 0) {
       for (const auto& [request, where] : runner.running) {
         if (where.second == model && mHosts[where.first].node != nullptr) {
-          Violate("cut stream", request.str() + " by an unload on " + runner.id.str());
+          Violate("cut stream",
+                  request.str() + " was still running on an unloaded model of " + runner.id.str());
         }
       }
     }
@@ -155,11 +160,12 @@
     for (const auto& [model, loaded] : endpoint.models) {
       used += loaded.memory.value;
       if (++replicas[model] > 1) {
-        Violate("replicas", model.str() + " is loaded twice, on " + endpoint.id.str());
+        Violate("replicas",
+                model.str() + " is loaded more than once, last seen on " + endpoint.id.str());
       }
     }
     if (used > (kRunnerMemory - kKvCache).value) {
-      Violate("memory", endpoint.id.str() + " is overcommitted");
+      Violate("memory", endpoint.id.str() + " holds models that exceed its weight memory");
     }
   }
 }
@@ -221,7 +227,7 @@
   mAcceptedAt[version] = mNow;
   mConfigurations[version] = MakeConfiguration(version, mScenario.check);
   Commit(first);
-  // The daemon that the operator spoke to knows at once.
+  // The daemon that accepted the operator's change gets the configuration at once.
   for (std::size_t index = 0; index < mHosts.size(); ++index) {
     const Host& host = mHosts[index];
     if (host.node != nullptr && !host.isTableCut && !host.isFrozen) {
@@ -235,7 +241,7 @@
   row.document = "second";
   const TableTransaction second{ ChangeId{ "second" }, { { key, seen } }, { { key, { row } } } };
   if (Commit(second).outcome != TransactionOutcome::kConflict) {
-    Violate("configuration", "two operators won");
+    Violate("configuration", "both of two concurrent changes were committed");
   }
 }
 
@@ -243,7 +249,7 @@
 {
   std::vector<HostEntry> list;
   for (const FakeEndpoint& endpoint : mEndpoints) {
-    // A process that is down for a moment is still listed, and one that left is not.
+    // An endpoint is listed also while its process is down.
     list.push_back({ .id = endpoint.id.str(),
                      .bootId = std::to_string(endpoint.boot),
                      .service = endpoint.service,
--- a/tests/matrix/world_script.cpp
+++ b/tests/matrix/world_script.cpp
@@ -1,4 +1,4 @@
-/* What happens in the world: steps, faults, and callers. */
+/* What happens during a run: steps, faults and client requests. */
 #include "tests/matrix/world.h"
 
 #include <array>
@@ -92,7 +92,7 @@
     After(500ms, [this, aRequest] { CheckAnswered(aRequest); });
     return;
   }
-  Violate("in time", aRequest.str() + " has no answer");
+  Violate("in time", aRequest.str() + " has no answer after its deadline");
 }
 
 void World::Resend(const RequestId& aRequest)
@@ -161,7 +161,8 @@
         Deliver(leaver, host.generation, ShutdownRequested{}, {});
         After(25s, [=, this, generation = host.generation] {
           if (mHosts[leaver].node != nullptr && mHosts[leaver].generation == generation) {
-            Violate("shutdown", mHosts[leaver].id.str() + " does not end");
+            Violate("shutdown",
+                    mHosts[leaver].id.str() + " has not ended 25 s after the shutdown request");
           }
         });
       });
