--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -1,4 +1,4 @@
-/* The event-driven HTTP server and client on real sockets of this host. */
+/* The event-driven HTTP server and client, tested over loopback connections. */
 #include "http/http_client.h"
 #include "http/http_server.h"
 
@@ -21,10 +21,11 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/* Longest time that a test waits for something that must come. */
+/* A test fails when an expected event has not happened within this time. */
 constexpr auto kPatience = std::chrono::seconds{ 10 };
 
-/* Runs the loop until a condition holds; false when it never does. */
+/* Runs the loop until a condition holds. Returns false when it does not hold within the time limit.
+ */
 template<typename Condition>
 bool RunUntil(asio::io_context& aLoop, const Condition& aCondition)
 {
@@ -39,7 +40,7 @@
   return true;
 }
 
-/* A server that stores the requests it gets. */
+/* A server that stores the requests it gets and answers none by itself. */
 struct Site
 {
   Site()
@@ -61,7 +62,8 @@
     return socket;
   }
 
-  /* Sends bytes as they are and returns what comes back until the server closes. */
+  /* Sends the bytes on a new connection, waits until the server has closed it or delivered a
+   * request, and returns the bytes that it sent back. */
   std::string Exchange(const std::string& aBytes)
   {
     auto socket = Connect();
@@ -85,7 +87,8 @@
   Server server;
 };
 
-/* An endpoint that answers each connection with given bytes, one text for each request. */
+/* An endpoint that answers each read of a request with the next of the given texts, over all its
+ * connections, and a client that calls it. */
 struct Endpoint
 {
   explicit Endpoint(std::vector<std::string> aAnswers)
@@ -128,7 +131,8 @@
       });
   }
 
-  /* Makes a call and returns how it ended. */
+  /* Makes a call and returns how it ended. When an id is given, answers whose X-Id field differs
+   * are skipped. */
   CallResult Call(Reuse aReuse = Reuse::kAllowed, const std::string& aId = {})
   {
     std::optional<CallResult> result;
@@ -174,7 +178,7 @@
 
 } // namespace
 
-TEST_CASE("requests whose framing is unsound are refused and reach nobody")
+TEST_CASE("requests with ambiguous or invalid framing are rejected and not delivered")
 {
   const std::vector<std::pair<std::string, std::string>> cases{
     { "negative length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: -5\r\n\r\n" },
@@ -212,7 +216,7 @@
   }
 }
 
-TEST_CASE("a body in chunks arrives byte for byte")
+TEST_CASE("a chunked body is delivered without its framing")
 {
   Site site;
   site.Exchange("POST /a?b=c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -222,7 +226,7 @@
   CHECK(site.requests[0].target == "/a?b=c");
 }
 
-TEST_CASE("limits on head and body are kept")
+TEST_CASE("requests beyond the header or body limit are rejected")
 {
   Site site;
   site.server.SetLimits({ .headerBytes = 1'000, .bodyBytes = 100 });
@@ -233,7 +237,7 @@
   CHECK(site.requests.empty());
 }
 
-TEST_CASE("a client that closes is noticed while its request is open")
+TEST_CASE("the server reports that a client has closed its connection during a request")
 {
   Site site;
   auto socket = site.Connect();
@@ -243,7 +247,7 @@
   CHECK(RunUntil(site.loop, [&] { return site.gone == 1; }));
 }
 
-TEST_CASE("requests that are sent ahead are answered one after the other")
+TEST_CASE("pipelined requests are handled one after the other")
 {
   Site site;
   auto socket = site.Connect();
@@ -255,11 +259,12 @@
   CHECK(site.requests[1].target == "/2");
 }
 
-TEST_CASE("a new connection is answered beside many that are idle")
+TEST_CASE("a new connection is served while many connections are idle")
 {
   Site site;
   std::vector<std::unique_ptr<tcp::socket>> open;
-  for (int number = 0; number < 400; ++number) { // Within the usual limit of descriptors.
+  for (int number = 0; number < 400;
+       ++number) { // Both ends stay below the usual limit of 1024 descriptors.
     open.push_back(site.Connect());
   }
   REQUIRE(RunUntil(site.loop, [&] { return site.server.counts().connections == 400; }));
@@ -268,21 +273,22 @@
   CHECK(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
 }
 
-TEST_CASE("closing idle connections spares one on which a request has arrived")
+TEST_CASE("closing idle connections keeps a connection on which a request has arrived")
 {
   Site site;
   auto idle = site.Connect();
   auto busy = site.Connect();
   REQUIRE(RunUntil(site.loop, [&] { return site.server.counts().connections == 2; }));
   asio::write(*busy, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
-  std::this_thread::sleep_for(std::chrono::milliseconds{ 50 }); // The bytes cross the loopback.
+  std::this_thread::sleep_for(
+    std::chrono::milliseconds{ 50 }); // Until the request has arrived over loopback.
   site.server.CloseIdle();
   REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
   CHECK(site.server.counts().connections == 1);
   CHECK_FALSE(site.server.IsQuiet());
 }
 
-TEST_CASE("an aborted answer in chunks does not look complete")
+TEST_CASE("an aborted chunked answer has no final chunk")
 {
   Site site;
   auto socket = site.Connect();
@@ -300,7 +306,7 @@
   CHECK(answer.ends_with("4\r\npart\r\n"));
 }
 
-TEST_CASE("a connection is used again after a clean answer, and not after extra bytes")
+TEST_CASE("a connection is reused after a complete answer, but not after surplus bytes")
 {
   Endpoint clean({ Answer("a"), Answer("b") });
   CHECK(clean.Call() == CallResult::kComplete);
@@ -316,7 +322,7 @@
   CHECK(extra.connections == 2);
 }
 
-TEST_CASE("a fresh connection is made when it is asked for")
+TEST_CASE("a call with Reuse::kFresh opens a new connection")
 {
   Endpoint endpoint({ Answer("a"), Answer("b") });
   CHECK(endpoint.Call() == CallResult::kComplete);
@@ -324,15 +330,14 @@
   CHECK(endpoint.connections == 2);
 }
 
-TEST_CASE("an answer to another request is read past")
+TEST_CASE("an answer to another request is skipped")
 {
   Endpoint endpoint({ Answer("other", "X-Id: 1\r\n") + Answer("mine", "X-Id: 2\r\n") });
   CHECK(endpoint.Call(Reuse::kAllowed, "2") == CallResult::kComplete);
   CHECK(endpoint.body == "mine");
 }
 
-TEST_CASE(
-  "an answer that breaks off is not complete, one without a length ends with its connection")
+TEST_CASE("a truncated answer is broken, and an answer without a length ends with its connection")
 {
   Endpoint cut({ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf" });
   cut.isClosing = true;
@@ -348,7 +353,7 @@
   CHECK(open.body == "whole");
 }
 
-TEST_CASE("what is no answer, and silence, end a call")
+TEST_CASE("a malformed answer ends a call, and an interim answer does not")
 {
   Endpoint nonsense({ "nonsense\r\n\r\n" });
   CHECK(nonsense.Call() == CallResult::kMalformed);
@@ -359,7 +364,7 @@
   CHECK(interim.body == "final");
 }
 
-TEST_CASE("a closed address is told from a lost answer")
+TEST_CASE("a call to an address at which nothing listens ends as not connected")
 {
   Endpoint endpoint({});
   endpoint.acceptor.close();
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -1,4 +1,4 @@
-/* The platform's documents, whole and damaged: a damaged one changes nothing. */
+/* Decoders of the platform adapter, with valid, malformed and truncated documents. */
 #include "platform/configuration_decoder.h"
 #include "platform/request_headers.h"
 #include "platform/runner_decoder.h"
@@ -37,7 +37,7 @@
   R"("limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,)"
   R"("idleTimeoutMs":15000}})";
 
-/* Returns a text with one part replaced. */
+/* Returns the text with the first occurrence of a part replaced. */
 std::string With(std::string aText, const std::string& aOld, const std::string& aNew)
 {
   const auto position = aText.find(aOld);
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("an entry of a runner is decoded into our names")
+TEST_CASE("a runner entry is decoded")
 {
   const auto entry = DecodeRunnerEntry("i-1", kEntry);
   REQUIRE(entry.has_value());
@@ -59,7 +59,7 @@
   CHECK(entry->holdings.onDisk.size() == 2);
 }
 
-TEST_CASE("an entry with a missing, foreign or wrong member is refused")
+TEST_CASE("a runner entry with a missing, unknown or wrongly typed member is rejected")
 {
   const std::vector<std::pair<std::string, std::string>> cases{
     { "not JSON", "{" },
@@ -77,7 +77,7 @@
     { "models is a text", With(kEntry, R"([{"name":"m1")", R"(["m1",{"name":"m1")") },
     { "adapters is a number", With(kEntry, R"(["a1@2","a3"])", "3") },
     { "born is a text", With(kEntry, R"("born":17)", R"("born":"x")") },
-    { "copies are numbers", With(kEntry, R"(["m1","m2"])", "[1,2]") },
+    { "onDisk holds numbers", With(kEntry, R"(["m1","m2"])", "[1,2]") },
   };
   for (const auto& [name, document] : cases) {
     INFO(name);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("every cut of an entry or a configuration is refused, none throws")
+TEST_CASE("every truncation of a runner entry or a configuration is rejected without an exception")
 {
   for (std::size_t length = 0; length < kEntry.size(); ++length) {
     CHECK_FALSE(DecodeRunnerEntry("i-1", kEntry.substr(0, length)).has_value());
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("a report counts orders, an entry does not")
+TEST_CASE("a runner report holds the number of orders and the loading adapters")
 {
   const auto report = DecodeRunnerReport(
     R"({"stage":"combined","models":[{"name":"m1","version":1,"adapters":[]}],"busy":true,)"
@@ -106,7 +106,7 @@
   CHECK(report->holdings.loadingAdapters.size() == 1);
 }
 
-TEST_CASE("a configuration is decoded into our names")
+TEST_CASE("a configuration is decoded")
 {
   const auto configuration = DecodeConfiguration(kConfiguration);
   REQUIRE(configuration.has_value());
@@ -125,7 +125,7 @@
   CHECK_FALSE(configuration->Find(ServiceId{ "s2" })->engine.has_value());
 }
 
-TEST_CASE("an unknown kind of route counts as the strictest one")
+TEST_CASE("a route of unknown kind may be neither repeated nor resumed")
 {
   const auto configuration =
     DecodeConfiguration(With(kConfiguration, R"("streaming")", R"("something_new")"));
@@ -133,7 +133,7 @@
   CHECK_FALSE(configuration->Match("h", "/a/x")->MayRepeatOrResume());
 }
 
-TEST_CASE("fields that are ours to set are dropped from clients, and all others stay")
+TEST_CASE("daemon-only and connection fields of a client are not forwarded, and all others are")
 {
   const http::Request request{ .method = "POST",
                                .target = "/a/x?q=1",
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("an endpoint's answer is told by its fields")
+TEST_CASE("an endpoint's answer is classified by its status and header fields")
 {
   const auto full = DecodeEndpointAnswer(
     { .status = 503, .fields = { { "X-Not-Executed", "1" }, { "X-Server-Load", "3,1,8" } } });
@@ -196,7 +196,7 @@
     DecodeEndpointAnswer({ .status = 200, .fields = { { "X-Server-Load", "3,x,8" } } }).load);
 }
 
-TEST_CASE("rows of the store survive the way there and back")
+TEST_CASE("values of store rows are encoded and decoded as base64")
 {
   const auto write = EncodeWrite(
     { .table = "t", .key = "k", .value = std::string("a\0b", 3), .expectedVersion = { 4 } });
@@ -212,14 +212,14 @@
   CHECK_FALSE(DecodeStoreAnswer("nonsense").has_value());
 }
 
-TEST_CASE("an event's id is read whatever its line ends")
+TEST_CASE("the id of an event is read with LF and CRLF line ends")
 {
   CHECK(DecodeEventId("id: 12\ndata: x\n\n") == "12");
   CHECK(DecodeEventId("x-weight-versions: 3\r\nid:7\r\ndata: x\r\n\r\n") == "7");
   CHECK(DecodeEventId("data: id: 5\n\n").empty());
 }
 
-TEST_CASE("only the adapter knows the platform's names")
+TEST_CASE("names of the platform's interface occur only in the platform adapter")
 {
   constexpr std::array kNames{ "X-Target-Instance", "X-Not-Executed", "X-Response-Signature",
                                "rows-tx",           "rows-feed",      "fencingToken",
