--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -1,4 +1,5 @@
-/* Every call of the administration API without a key, with a wrong one and with too low a role. */
+/* Authorization of every call of the administration API: without a key, with a wrong key, and with
+ * each role. */
 #include "core/digest_func.h"
 #include "core/http_client_func.h"
 #include "operator/admin_server.h"
@@ -18,7 +19,8 @@
 constexpr std::optional kOperate = OperatorRole::kOperate;
 constexpr std::optional kConfigure = OperatorRole::kConfigure;
 
-/* The whole API: a call that is added to the server must be added here. */
+/* All calls of the API with the role that they require. A test checks that the server registers
+ * exactly these calls. */
 const std::vector<AdminRoute> kCalls{
   { "GET", "/health", kOpen },
   { "GET", "/ready", kOpen },
@@ -89,7 +91,7 @@
 
 } // namespace
 
-TEST_CASE("The table of calls is what the server registers")
+TEST_CASE("The server registers exactly the listed calls with their roles")
 {
   const Fixture fixture;
   std::set<std::string> expected;
@@ -107,7 +109,7 @@
   CHECK(expected == registered);
 }
 
-TEST_CASE("Only health and readiness answer without a key, and a role allows no more than it says")
+TEST_CASE("Only health and readiness are served without a key, and each role allows only its calls")
 {
   const Fixture fixture;
   const std::vector<std::pair<std::string, OperatorRole>> keys{
@@ -130,10 +132,10 @@
       CHECK(status != 401);
     }
   }
-  CHECK(fixture.drains() == 2); // By the two roles that may, and by nobody else.
+  CHECK(fixture.drains() == 2); // Once with the role operate and once with configure.
 }
 
-TEST_CASE("A path that is not served says so and does nothing")
+TEST_CASE("A call that is not registered gets status 404 and has no effect")
 {
   const Fixture fixture;
   CHECK(fixture.Call({ "POST", "/health", {} }, "Bearer configure") == 404);
@@ -151,7 +153,7 @@
   CHECK(second.Start() == 0);
 }
 
-TEST_CASE("A file of operators' keys is checked whole, with lines")
+TEST_CASE("Each bad file of operator keys gets its error, with line and reason")
 {
   struct BadKeys
   {
--- a/tests/unit/config_bad_documents_test.cpp
+++ b/tests/unit/config_bad_documents_test.cpp
@@ -1,4 +1,4 @@
-/* Bad configuration documents, each with the error that it gets. */
+/* Invalid configuration documents and the error that each of them gets. */
 #include "config/configuration_document.h"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 const std::string kHashA(64, 'a');
 
-/* A valid document; a case replaces one part of it. */
+/* A valid document. Each case replaces one part of it. HASH stands for a key hash. */
 const std::string kGood = R"(services:
   language:
     kind: models
@@ -38,11 +38,11 @@
 
 struct BadDocument
 {
-  std::string part;   ///< Replaced in the valid document; empty replaces all of it.
-  std::string by;     ///< What stands there instead.
+  std::string part;   ///< Part of the valid document that is replaced. Empty: the whole document.
+  std::string by;     ///< Replacement.
   int line = 0;       ///< Line of the error.
   std::string path;   ///< Path of the error.
-  std::string reason; ///< Part of the reason.
+  std::string reason; ///< Text that the reason must contain.
 };
 
 std::string Make(const BadDocument& aCase)
@@ -70,7 +70,7 @@
   return text;
 }
 
-/* Line, path, reason, the part that is replaced, and what stands there instead. */
+/* One case a row: line, path and reason of the error, the replaced part, and its replacement. */
 const std::string kChanges = R"(1 | sevices | unknown key | services: | sevices:
 15 | models | appears twice | models:\n | models:\n  payslip: {}\nmodels:\n
 13 | models | must be a mapping | models:\n  payslip: | models:\nother:\n  payslip:
@@ -127,7 +127,7 @@
 4 | services.language.routes | kind plain | kind: models\n | kind: models\n    routes: [{path: /x, class: default}]\n
 )";
 
-/* Documents that are bad as a whole, or too large for the table. */
+/* Cases that replace the whole document, and one whose replacement is too long for a row. */
 const std::vector<BadDocument> kWholeDocuments{
   { "", "", 1, "", "the document is empty" },
   { "", "just a text", 1, "", "must be a mapping" },
@@ -171,7 +171,7 @@
 
 } // namespace
 
-TEST_CASE("The document that the bad ones are made of is valid")
+TEST_CASE("The document from which the invalid ones are made is valid")
 {
   const auto result = ParseConfiguration(Make({ "customers:", "customers:" }), { 7 });
   INFO(Show(result));
@@ -179,7 +179,7 @@
   CHECK(result->version.value == 7);
 }
 
-TEST_CASE("Each bad document gets its error, with line, path and reason")
+TEST_CASE("Each invalid document gets its error, with line, path and reason")
 {
   const auto documents = BadDocuments();
   CHECK(documents.size() == 66);
@@ -196,7 +196,7 @@
   }
 }
 
-TEST_CASE("All errors of a document are given at once, ordered by line")
+TEST_CASE("All errors of a document are reported together, ordered by line")
 {
   const auto result = ParseConfiguration(
     "services: {a: {kind: x}}\nmodels:\n  m: {service: b}\nclasses: {default: {priority: -1}}\n",
--- a/tests/unit/config_diff_test.cpp
+++ b/tests/unit/config_diff_test.cpp
@@ -1,4 +1,4 @@
-/* What a change of configuration would do, and drained runners. */
+/* Differences between two configurations, and draining a runner in a document. */
 #include "config/configuration_diff.h"
 #include "config/configuration_document.h"
 #include "operator/drained_runner.h"
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("A difference names parts and fields, not lines")
+TEST_CASE("A difference lists changed items and fields, independent of the layout of the documents")
 {
   const std::vector<std::string> expected{
     "changed classes.default.deadline_ms: 30000 -> 20000",
@@ -68,7 +68,7 @@
   CHECK(Texts(kBefore, kBefore).empty());
 }
 
-TEST_CASE("Draining a runner changes one field, and undoing it restores the document's meaning")
+TEST_CASE("Draining a runner changes one field, and undoing it restores an equal configuration")
 {
   const ServiceId service{ "language" };
   const EndpointId runner{ "runner-3" };
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -1,4 +1,4 @@
-/* What attempts and orders make of right and wrong answers of endpoints. */
+/* Outcomes of attempts and orders for correct and faulty answers of endpoints. */
 #include "tests/unit/fake_server.h"
 
 #include "endpoint/attempt.h"
@@ -56,7 +56,7 @@
   const std::string type = "text/event-stream";
   return {
     { "whole", kWhole, { .body = "{}", .headers = own }, kCompleted },
-    { "another's answer", kWhole, { .body = "{}", .headers = other }, kMismatched },
+    { "answer to another request", kWhole, { .body = "{}", .headers = other }, kMismatched },
     { "truncated", kWhole, { .body = "{}", .fault = kTruncated }, kCut },
     { "no length", kWhole, { .body = "{}", .fault = kNoLength }, kCut },
     { "late", kWhole, { .body = "{}", .fault = kLate }, kSilent },
@@ -72,8 +72,8 @@
       kCompleted,
       3 },
     { "cut", kStream, { .body = kEvents, .fault = kTruncated, .contentType = type }, kCut, 2 },
-    { "half an event", kStream, { .body = "data: a", .contentType = type }, kCut, 0 },
-    { "another's stream",
+    { "truncated event", kStream, { .body = "data: a", .contentType = type }, kCut, 0 },
+    { "stream of another request",
       kStream,
       { .body = kWholeStream, .headers = other, .contentType = type },
       kMismatched,
@@ -82,10 +82,11 @@
   };
 }
 
-/* Waits for the next part of an answer; nothing when the limit has passed. */
+/* Waits for the next part of an answer. Returns nothing when none has arrived within kLimit. */
 std::optional<AnswerPart> WaitPart(Session& aSession)
 {
-  const auto told = std::make_shared<std::counting_semaphore<>>(0); // May be told after the end.
+  const auto told = std::make_shared<std::counting_semaphore<>>(
+    0); // The session can call the listener after this function has returned.
   aSession.SetListener([told] { told->release(); });
   auto part = aSession.TakePart();
   if (!part && told->try_acquire_for(kLimit)) {
@@ -97,7 +98,7 @@
 
 } // namespace
 
-TEST_CASE("an attempt is judged by what came back")
+TEST_CASE("the outcome of an attempt follows from the endpoint's answer")
 {
   for (const AttemptCase& item : AttemptCases()) {
     CAPTURE(item.name);
@@ -110,7 +111,7 @@
   }
 }
 
-TEST_CASE("an attempt that was not sent says so")
+TEST_CASE("an attempt whose request was not sent ends as not connected")
 {
   const auto refused = MakeSession(AnswerForm::kWhole);
   CHECK(RunAttempt(*refused, MakeAttempt(ClosedAddress())).outcome ==
@@ -123,7 +124,7 @@
   CHECK(server.calls() == 0);
 }
 
-TEST_CASE("a resumed stream is joined whether or not the engine honours the offset")
+TEST_CASE("a resumed stream has each event once, whether or not the engine honours the offset")
 {
   const std::string type = "text/event-stream";
   const std::vector<FakeAnswer> answers{
@@ -142,7 +143,8 @@
   }
 }
 
-TEST_CASE("a stream waits for a slow caller, and a stopped one does not")
+TEST_CASE(
+  "a full stream buffer blocks the attempt until the caller reads or the attempt is stopped")
 {
   const auto session = MakeSession(AnswerForm::kStream);
   session->BeginAttempt(AttemptNumber{ 1 });
@@ -162,7 +164,7 @@
   CHECK(session->delivered() <= 9);
 }
 
-TEST_CASE("an order's outcome is never guessed")
+TEST_CASE("an order's outcome is unknown unless the answer states it or the order was not sent")
 {
   struct Case
   {
--- a/tests/unit/contract_peer_test.cpp
+++ b/tests/unit/contract_peer_test.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/* Collects the versions of the configurations that arrive, slowly. */
+/* Collects the versions of the received configurations. It pauses before each message, as a slow
+ * peer does. */
 class Receiver
 {
 public:
@@ -32,7 +33,7 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(mPort); }
 
-  /* Waits for a number of messages; the limit only bounds a test that has failed. */
+  /* Waits until this many different versions have arrived. Returns false after about 10 s. */
   bool WaitFor(std::size_t aCount)
   {
     for (int step = 0; step < 500; ++step) {
@@ -56,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("messages larger than a socket's buffer reach a peer that reads slowly")
+TEST_CASE("messages that exceed a socket's buffer reach a peer that reads slowly")
 {
   struct Case
   {
--- a/tests/unit/contract_platform_test.cpp
+++ b/tests/unit/contract_platform_test.cpp
@@ -1,4 +1,4 @@
-/* What the clients of the platform make of right and wrong answers. */
+/* Results of the table client and the host list client for correct and faulty answers. */
 #include "tests/unit/fake_server.h"
 
 #include "table/host_list_client.h"
@@ -22,13 +22,13 @@
   bool isTaken;
 };
 
-/* Faults that every interface of the platform may show. */
+/* Returns the faulty answers that any interface of the platform can give, and a correct one. */
 std::vector<Case> CommonFaults(const std::string& aGood)
 {
   return { { "good", { .body = aGood }, true },
            { "empty", { .body = "" }, false },
            { "not JSON", { .body = "{" }, false },
-           { "another shape", { .body = R"({"rows":7,"hosts":7})" }, false },
+           { "wrong member types", { .body = R"({"rows":7,"hosts":7})" }, false },
            { "error", { .status = 500, .body = aGood }, false },
            { "unavailable", { .status = 503, .body = aGood }, false },
            { "truncated", { .body = aGood, .fault = AnswerFault::kTruncated }, false },
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction counts as decided only by a whole and fitting answer")
+TEST_CASE("a transaction is committed or in conflict only with a complete answer for its rows")
 {
   std::vector<Case> cases = CommonFaults(kAbsentRow);
   cases.push_back(
@@ -68,7 +68,7 @@
   CHECK(Commit(ClosedAddress()) == TransactionOutcome::kUnknown);
 }
 
-TEST_CASE("a read succeeds only with all the rows that were asked for")
+TEST_CASE("a read succeeds only when the answer holds all requested rows")
 {
   std::vector<Case> cases = CommonFaults(kAbsentRow);
   cases.push_back({ "another row", { .body = R"({"rows":[{"key":"x","version":0}]})" }, false });
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("a host list is taken only whole")
+TEST_CASE("a host list is accepted only when it is complete and valid")
 {
   std::vector<Case> cases =
     CommonFaults(R"({"hosts":[{"kind":"endpoint","id":"r","address":"127.0.0.1:1"}]})");
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -1,4 +1,4 @@
-/* Structured logs: whole JSON lines, bounded in volume, and no wait for the reader. */
+/* The event log writes complete JSON lines, limits their number, and never waits for its reader. */
 #include "core/event_log.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/* A pipe whose reading end may stand still. */
+/* A pipe that is read only when the test calls Lines(). */
 struct Pipe
 {
   Pipe()
@@ -50,7 +50,8 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object, whatever its values hold")
+TEST_CASE(
+  "a line is one JSON object, also with quotes, line breaks and invalid UTF-8 in its values")
 {
   Pipe pipe;
   EventLog log({ .daemon = "d0", .descriptor = pipe.ends[1] });
@@ -70,7 +71,7 @@
   CHECK(lines[0]["id"] == "e0");
 }
 
-TEST_CASE("each kind of event has a budget, and what was left out is counted")
+TEST_CASE("the number of lines is limited for each event, and omitted lines are counted")
 {
   Pipe pipe;
   EventLog log(
@@ -84,7 +85,7 @@
   CHECK(log.leftOut() == 90);
 }
 
-TEST_CASE("a reader that stands still costs lines, not time")
+TEST_CASE("lines are omitted when the reader does not read, and writing does not block")
 {
   Pipe pipe;
   EventLog log({ .daemon = "d0",
--- a/tests/unit/fake_server.h
+++ b/tests/unit/fake_server.h
@@ -1,4 +1,4 @@
-/* A small server that answers as a test tells it, rightly or wrongly. */
+/* An HTTP server that gives every request the same answer, with a fault if a test wants one. */
 #ifndef RHUBARBTRAIL_TESTS_FAKE_SERVER_H
 #define RHUBARBTRAIL_TESTS_FAKE_SERVER_H
 
@@ -10,13 +10,13 @@
 
 namespace rhubarbtrail {
 
-/* What goes wrong with an answer on its way. */
+/* A fault in how an answer is sent. */
 enum class AnswerFault : std::uint8_t
 {
   kNone,
   kTruncated, ///< The connection ends before the announced length.
-  kLate,      ///< Nothing comes within the time limit of the tests.
-  kNoLength,  ///< The answer ends with the connection and says no length.
+  kLate,      ///< Sent after 1 s, which is later than the time limits of the tests.
+  kNoLength,  ///< The answer has no length and ends with its connection.
 };
 
 struct FakeAnswer
--- a/tests/unit/load_scenario_test.cpp
+++ b/tests/unit/load_scenario_test.cpp
@@ -1,4 +1,5 @@
-/* Scenarios are read and planned alike from one seed, and reports count what came back. */
+/* Load scenarios: parsing, request plans that depend only on the seed, and reports of the outcomes.
+ */
 #include "load/load_report.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +9,7 @@
 
 using namespace rhubarbtrail;
 
-TEST_CASE("what a scenario must say")
+TEST_CASE("a scenario needs a name and groups with models and a burst, or a rate with an end")
 {
   struct Row
   {
@@ -30,7 +31,7 @@
   }
 }
 
-TEST_CASE("one seed gives one plan")
+TEST_CASE("the same seed gives the same plan, and another seed a different one")
 {
   auto scenario = ParseScenario("{name: n, seed: 5, groups: ["
                                 "{name: b, key: k, models: [m], burst: 3, start: 2},"
@@ -51,7 +52,7 @@
   CHECK(PlanRequests(*scenario, 4).back().plannedStart != plan.back().plannedStart);
 }
 
-TEST_CASE("a report counts refusals apart from answers")
+TEST_CASE("a report counts each status and takes latencies only from successful requests")
 {
   const Scenario scenario{ .name = "n", .groups = { { .name = "g", .key = {}, .models = {} } } };
   const std::vector<RequestOutcome> outcomes{
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -1,4 +1,4 @@
-/* Log lines as JSON, and metrics as text. */
+/* Log lines in JSON format, and metrics in text format. */
 #include "core/log_json.h"
 #include "core/metrics.h"
 
@@ -10,7 +10,8 @@
 
 using namespace rhubarbtrail;
 
-TEST_CASE("A JSON log line can be parsed whatever its message holds")
+TEST_CASE(
+  "A JSON log line can be parsed, also with quotes, line breaks and invalid UTF-8 in its message")
 {
   JsonLogFormatter formatter;
   for (const std::string& text : { std::string{ "plain" },
@@ -30,7 +31,7 @@
   }
 }
 
-TEST_CASE("Metrics noted by many threads are all in the text")
+TEST_CASE("Metrics recorded by several threads are summed up in the text")
 {
   Metrics metrics;
   std::vector<std::thread> threads;
--- a/tests/unit/result_codes_page_test.cpp
+++ b/tests/unit/result_codes_page_test.cpp
@@ -1,4 +1,4 @@
-/* docs/RESULT_CODES.md lists the result codes as they are. */
+/* docs/RESULT_CODES.md must list every result code with its current values. */
 #include "core/result_code_type.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 using namespace rhubarbtrail;
 
-TEST_CASE("The page of result codes has one row for each code, and no other")
+TEST_CASE("The page of result codes has exactly one row for each code")
 {
   std::set<std::string> expected;
   for (const ResultCodeInfo& info : ResultCodes()) {
@@ -23,7 +23,7 @@
   for (std::string line; std::getline(file, line);) {
     const bool isRow = line.starts_with("| ") && line.size() > 2 && std::isdigit(line[2]) != 0;
     if (isRow) {
-      // The last column says what the caller can do, which the code does not know.
+      // The last column tells what the caller can do. The code has no such text.
       listed.insert(line.substr(0, line.rfind('|', line.size() - 2) + 1));
     }
   }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -1,4 +1,4 @@
-/* Bad settings files, each with the error that it gets. */
+/* Invalid settings files and the error that each of them gets. */
 #include "core/digest_func.h"
 #include "settings/settings_base.h"
 
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("Each bad settings file gets its error, with line and reason")
+TEST_CASE("Each invalid settings file gets its error, with line and reason")
 {
   REQUIRE(Load(kRequired).has_value());
   for (const BadSettings& bad : kBadSettings) {
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("All errors are given at once: missing, unknown, out of range and contradicting")
+TEST_CASE("All errors of a settings file are reported together")
 {
   const auto result = Load("zone: a\nunknown: 1\ncaller_port: x\nlease_renewal: 5000\n");
   REQUIRE_FALSE(result.has_value());
@@ -82,7 +82,7 @@
   CHECK_FALSE(LoadSettings("no-such-file.yaml").has_value());
 }
 
-TEST_CASE("The page for operators holds the table of settings as it is")
+TEST_CASE("docs/OPERATING.md contains the current table of settings")
 {
   std::ifstream file(std::string{ SOURCE_DIR } + "/docs/OPERATING.md");
   std::stringstream page;
