--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -18,23 +18,23 @@
 /* Runs scenarios and adds up their results. */
 struct Tally
 {
-  std::uint64_t cells = 0;
-  std::uint64_t events = 0;
-  std::uint64_t answered = 0;
-  std::uint64_t refused = 0;
+  std::uint64_t scenarioCount = 0;
+  std::uint64_t eventCount = 0;
+  std::uint64_t answeredCount = 0;
+  std::uint64_t refusedCount = 0;
   std::map<std::string, std::uint32_t> violations; ///< Number by invariant.
 
   void Add(const Scenario& aScenario)
   {
-    const Verdict verdict = Play(aScenario);
-    ++cells;
-    events += verdict.events;
-    answered += verdict.answered;
-    refused += verdict.refused;
-    for (const std::string& violation : verdict.violations) {
-      const std::string promise = violation.substr(0, violation.find(':'));
-      if (++violations[promise] <= 3) {
-        MESSAGE(Describe(aScenario), ": ", violation);
+    const ScenarioResult result = RunScenario(aScenario);
+    ++scenarioCount;
+    eventCount += result.eventCount;
+    answeredCount += result.answeredCount;
+    refusedCount += result.refusedCount;
+    for (const std::string& violation : result.violations) {
+      const std::string invariant = violation.substr(0, violation.find(':'));
+      if (++violations[invariant] <= 3) {
+        MESSAGE(DescribeScenario(aScenario), ": ", violation);
       }
     }
   }
@@ -42,45 +42,45 @@
   void Print(const char* aName) const
   {
     std::string text;
-    for (const auto& [promise, count] : violations) {
-      text += " " + promise + "=" + std::to_string(count);
+    for (const auto& [invariant, count] : violations) {
+      text += " " + invariant + "=" + std::to_string(count);
     }
     MESSAGE(std::string{ aName },
             ": ",
-            cells,
+            scenarioCount,
             " scenarios, ",
-            events,
+            eventCount,
             " events, ",
-            answered,
+            answeredCount,
             " answered, ",
-            refused,
+            refusedCount,
             " refused, violations:",
             text.empty() ? " none" : text);
   }
 };
 
-std::uint64_t Setting(const char* aName, std::uint64_t aElse)
+std::uint64_t EnvironmentNumber(const char* aName, std::uint64_t aDefault)
 {
   const char* text = std::getenv(aName); // NOLINT(concurrency-mt-unsafe)
-  return text == nullptr ? aElse : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? aDefault : std::strtoull(text, nullptr, 10);
 }
 
 /* Returns every step with every fault, for runners that check fencing tokens and for those that do
  * not. */
-std::vector<Scenario> AllCells(std::uint64_t aSeed)
+std::vector<Scenario> SingleFaultScenarios(std::uint64_t aSeed)
 {
-  std::vector<Scenario> cells;
+  std::vector<Scenario> scenarios;
   for (std::size_t step = 0; step < static_cast<std::size_t>(Step::kCount); ++step) {
     for (std::size_t fault = 0; fault < static_cast<std::size_t>(Fault::kCount); ++fault) {
       for (const OrderCheck check : { OrderCheck::kChecked, OrderCheck::kUnchecked }) {
-        cells.push_back({ .seed = aSeed + step * 101 + fault,
-                          .step = static_cast<Step>(step),
-                          .faults = { static_cast<Fault>(fault) },
-                          .check = check });
+        scenarios.push_back({ .seed = aSeed + step * 101 + fault,
+                              .step = static_cast<Step>(step),
+                              .faults = { static_cast<Fault>(fault) },
+                              .check = check });
       }
     }
   }
-  return cells;
+  return scenarios;
 }
 
 /* Returns a step with two or three faults chosen by the seed. Every eighth seed adds a runner that
@@ -92,11 +92,11 @@
   scenario.step = static_cast<Step>(random() % static_cast<std::uint64_t>(Step::kCount));
   const std::uint64_t count = 2 + random() % 2;
   for (std::uint64_t index = 0; index < count; ++index) {
-    const std::uint64_t faults = static_cast<std::uint64_t>(Fault::kEndpointCut) - 1;
+    const std::uint64_t faults = static_cast<std::uint64_t>(Fault::kRunnerPartition) - 1;
     scenario.faults.push_back(static_cast<Fault>(1 + random() % faults));
   }
   if (aSeed % 8 == 7) {
-    scenario.faults.push_back(Fault::kEndpointCut);
+    scenario.faults.push_back(Fault::kRunnerPartition);
   }
   scenario.check = random() % 2 == 0 ? OrderCheck::kChecked : OrderCheck::kUnchecked;
   return scenario;
@@ -107,9 +107,9 @@
 TEST_CASE("matrix: every fault at every step")
 {
   Tally tally;
-  const std::uint64_t seed = Setting("MATRIX_SEED", 1);
-  for (std::uint64_t round = 0; round < Setting("MATRIX_ROUNDS", 2); ++round) {
-    for (const Scenario& scenario : AllCells(seed * 1'000'003 + round * 1'009)) {
+  const std::uint64_t seed = EnvironmentNumber("MATRIX_SEED", 1);
+  for (std::uint64_t round = 0; round < EnvironmentNumber("MATRIX_ROUNDS", 2); ++round) {
+    for (const Scenario& scenario : SingleFaultScenarios(seed * 1'000'003 + round * 1'009)) {
       tally.Add(scenario);
     }
   }
@@ -120,9 +120,9 @@
 TEST_CASE("matrix: pairs and repeats of faults")
 {
   Tally tally;
-  const std::uint64_t first = Setting("MATRIX_SEED", 1) * 7'919;
+  const std::uint64_t first = EnvironmentNumber("MATRIX_SEED", 1) * 7'919;
   MESSAGE("seeds from ", first);
-  for (std::uint64_t seed = first; seed < first + Setting("MATRIX_PAIRS", 500); ++seed) {
+  for (std::uint64_t seed = first; seed < first + EnvironmentNumber("MATRIX_PAIRS", 500); ++seed) {
     tally.Add(RandomScenario(seed));
   }
   tally.Print("pairs of faults");
@@ -168,8 +168,9 @@
 TEST_CASE("matrix: soak" * doctest::skip())
 {
   Tally tally;
-  std::uint64_t seed = Setting("SEED", 1) * 1'000'000;
-  const auto end = std::chrono::steady_clock::now() + std::chrono::minutes(Setting("MINUTES", 1));
+  std::uint64_t seed = EnvironmentNumber("SEED", 1) * 1'000'000;
+  const auto end =
+    std::chrono::steady_clock::now() + std::chrono::minutes(EnvironmentNumber("MINUTES", 1));
   MESSAGE("seeds from ", seed);
   while (std::chrono::steady_clock::now() < end) {
     tally.Add(RandomScenario(seed++));
@@ -183,7 +184,7 @@
 {
   Mechanism mechanism;
   const char* name;
-  const char* promise;
+  const char* invariant;
   std::vector<Fault> faults = {}; ///< Empty: chosen by the seed, as in RandomScenario().
   OrderCheck check = OrderCheck::kChecked;
   std::uint64_t firstSeed = 1;
@@ -193,17 +194,17 @@
   { Mechanism::kFencedRecovery,
     "fenced recovery",
     "replicas",
-    { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut },
+    { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition },
     OrderCheck::kChecked,
     1'589 },
   { Mechanism::kPossibleReplicas,
     "possible replicas",
     "replicas",
-    { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut } },
+    { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition } },
   { Mechanism::kReservedIntent,
     "reserved intent",
     "written order",
-    { Fault::kFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
+    { Fault::kDaemonFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
     OrderCheck::kUnchecked,
     1'225 },
   { Mechanism::kWrittenIntent, "written intent", "written order" },
@@ -226,39 +227,39 @@
 
 /* Searches for a scenario that violates the invariant when the mechanism is disabled. The same
  * scenario must violate nothing when the mechanism is enabled. */
-void CheckNoticed(const Mutation& mutation)
+void CheckMutationDetected(const Mutation& aMutation)
 {
-  constexpr std::uint64_t kTries = 1'500;
+  constexpr std::uint64_t kMaxScenarios = 1'500;
   std::string found;
-  std::uint64_t seed = mutation.firstSeed;
-  for (; found.empty() && seed < mutation.firstSeed + kTries; ++seed) {
+  std::uint64_t seed = aMutation.firstSeed;
+  for (; found.empty() && seed < aMutation.firstSeed + kMaxScenarios; ++seed) {
     Scenario scenario = RandomScenario(seed);
-    if (!mutation.faults.empty()) {
-      scenario = { .seed = seed, .faults = mutation.faults, .check = mutation.check };
-      scenario.spread = 9s;
+    if (!aMutation.faults.empty()) {
+      scenario = { .seed = seed, .faults = aMutation.faults, .check = aMutation.check };
+      scenario.faultStartWindow = 9s;
     }
-    scenario.disabled.set(static_cast<std::size_t>(mutation.mechanism));
-    for (const std::string& violation : Play(scenario).violations) {
-      if (violation.starts_with(mutation.promise)) {
-        found = Describe(scenario) + ": " + violation;
+    scenario.disabled.set(static_cast<std::size_t>(aMutation.mechanism));
+    for (const std::string& violation : RunScenario(scenario).violations) {
+      if (violation.starts_with(aMutation.invariant)) {
+        found = DescribeScenario(scenario) + ": " + violation;
         scenario.disabled.reset();
-        CHECK(Play(scenario).violations.empty());
+        CHECK(RunScenario(scenario).violations.empty());
         break;
       }
     }
   }
-  MESSAGE(std::string{ mutation.name },
+  MESSAGE(std::string{ aMutation.name },
           " disabled, scenarios tried: ",
-          seed - mutation.firstSeed,
+          seed - aMutation.firstSeed,
           ": ",
           found.empty() ? "NO VIOLATION FOUND" : found);
   CHECK_FALSE(found.empty());
 }
 
-TEST_CASE("matrix: a mechanism that is switched off is noticed")
+TEST_CASE("matrix: disabling a mechanism violates its invariant")
 {
   for (const Mutation& mutation : kMutations) {
-    CheckNoticed(mutation);
+    CheckMutationDetected(mutation);
   }
 }
 
--- a/tests/matrix/world_platform.cpp
+++ b/tests/matrix/world_platform.cpp
@@ -13,26 +13,26 @@
 
 std::shared_ptr<const Configuration> MakeConfiguration(std::uint64_t aVersion, OrderCheck aCheck)
 {
-  auto made = std::make_shared<Configuration>();
-  made->version = { aVersion };
+  auto configuration = std::make_shared<Configuration>();
+  configuration->version = { aVersion };
   ServiceSpec models{ .id = ServiceId{ "models" }, .orderCheck = aCheck };
   models.keepAlive = FixedKeepAlive{ 3s };
   models.store.concurrentLoads = 3;
-  made->services[models.id] = models;
-  made->services[ServiceId{ "ledger" }] = { .id = ServiceId{ "ledger" },
-                                            .kind = ServiceKind::kPlain };
+  configuration->services[models.id] = models;
+  configuration->services[ServiceId{ "ledger" }] = { .id = ServiceId{ "ledger" },
+                                                     .kind = ServiceKind::kPlain };
   for (int index = 0; index < 4; ++index) {
     ModelSpec model{ .id = ModelId{ "m" + std::to_string(index) }, .service = models.id };
     model.memory = { index == 3 ? 20'000 : 40'000 };
     model.expectedLoad = 1s;
     model.adapters[AdapterId{ "a" }] = { AdapterId{ "a" }, { 1'000 } };
-    made->models[model.id] = model;
+    configuration->models[model.id] = model;
   }
-  made->classes[ClassId{ "chat" }] = { .id = ClassId{ "chat" } };
-  made->classes[ClassId{ "pay" }] = { .id = ClassId{ "pay" },
-                                      .repeatability = Repeatability::kAtMostOnce };
-  made->customers[CustomerId{ "c" }] = { .id = CustomerId{ "c" }, .allModels = true };
-  return made;
+  configuration->classes[ClassId{ "chat" }] = { .id = ClassId{ "chat" } };
+  configuration->classes[ClassId{ "pay" }] = { .id = ClassId{ "pay" },
+                                               .repeatability = Repeatability::kAtMostOnce };
+  configuration->customers[CustomerId{ "c" }] = { .id = CustomerId{ "c" }, .allModels = true };
+  return configuration;
 }
 
 } // namespace
@@ -45,7 +45,7 @@
   return found == mEndpoints.end() ? nullptr : &*found;
 }
 
-TransactionResult World::Commit(const TableTransaction& aTransaction)
+TransactionResult World::CommitTransaction(const TableTransaction& aTransaction)
 {
   TransactionResult result{ .change = aTransaction.change };
   for (const RowCondition& condition : aTransaction.conditions) {
@@ -61,7 +61,7 @@
   }
   for (const RowWrite& write : aTransaction.writes) {
     Row& row = mRows[write.key];
-    row = { write.key, { write.value ? ++mNumber : 0 }, write.value };
+    row = { write.key, { write.value ? ++mLastNumber : 0 }, write.value };
     result.rows.push_back(row);
   }
   return result;
@@ -70,7 +70,7 @@
 /* A runner that does not check fencing tokens must only get orders that are written in the
  * placement row. Otherwise the next lease holder does not know of the order and can decide
  * differently. */
-void World::CheckPlacement(const SendOrder& aOrder)
+void World::CheckPlacementWritten(const SendOrder& aOrder)
 {
   const auto row = mRows.find(PlacementKey(aOrder.cell));
   const auto* placement = row == mRows.end() || !row->second.value
@@ -83,27 +83,27 @@
         return aEntry.runner == aOrder.runner && aEntry.model == aOrder.artifact.model;
       });
   if (!isWritten) {
-    Violate("written order",
-            aOrder.runner.str() + " got an order without a placement entry for " +
-              aOrder.artifact.model.str());
+    RecordViolation("written order",
+                    aOrder.runner.str() + " got an order without a placement entry for " +
+                      aOrder.artifact.model.str());
   }
 }
 
-OrderResult World::Execute(std::size_t aHost, const SendOrder& aOrder)
+OrderResult World::ExecuteOrder(std::size_t aHost, const SendOrder& aOrder)
 {
   FakeEndpoint& runner = *FindEndpoint(aOrder.runner);
   OrderResult result{ .cell = aOrder.cell, .runner = runner.id, .order = aOrder.order };
   const bool isChecked = mScenario.check == OrderCheck::kChecked;
-  if (isChecked && aOrder.fence < runner.fence) {
+  if (isChecked && aOrder.fence < runner.highestFence) {
     result.outcome = OrderOutcome::kFenced;
     return result;
   }
-  runner.fence = std::max(runner.fence, aOrder.fence);
+  runner.highestFence = std::max(runner.highestFence, aOrder.fence);
   const ModelId& model = aOrder.artifact.model;
-  const auto known = runner.orders.find(aOrder.order);
+  const auto known = runner.orderOutcomes.find(aOrder.order);
   if (aOrder.kind == OrderKind::kInventory) {
     result.outcome = OrderOutcome::kDone;
-  } else if (known != runner.orders.end()) {
+  } else if (known != runner.orderOutcomes.end()) {
     result.outcome = known->second;
   } else if (aOrder.kind == OrderKind::kLoadAdapter) {
     const auto found = runner.models.find(model);
@@ -113,46 +113,49 @@
     }
   } else {
     if (!isChecked) {
-      CheckPlacement(aOrder);
+      CheckPlacementWritten(aOrder);
     }
     const bool isLoad = aOrder.kind == OrderKind::kLoadModel;
     result.outcome = isLoad ? OrderOutcome::kAccepted : OrderOutcome::kDone;
     if (isLoad && !runner.models.contains(model)) {
       runner.models[model] = { .version = aOrder.version, .memory = aOrder.memory };
-      const auto time = static_cast<double>(Between(600ms, 1200ms).count()) * mLoadFactor;
+      const auto time =
+        static_cast<double>(RandomDuration(600ms, 1200ms).count()) * mLoadTimeFactor;
       const std::uint32_t generation = mHosts[aHost].generation;
-      After(Duration{ static_cast<Duration::rep>(time) }, [=, this, boot = runner.boot] {
-        FakeEndpoint& runner = *FindEndpoint(aOrder.runner);
-        const auto found = runner.models.find(aOrder.artifact.model);
-        if (runner.boot != boot || !runner.isAlive || found == runner.models.end()) {
-          return;
-        }
-        found->second.ready = true;
-        runner.orders[aOrder.order] = OrderOutcome::kDone;
-        OrderResult done = result;
-        done.outcome = OrderOutcome::kDone;
-        done.inventory = InventoryOf(runner);
-        if (!mHosts[aHost].isRunnerCut && !Chance(mLostMessages)) {
-          Deliver(aHost, generation, done, 1ms);
-        }
-      });
+      Schedule(
+        Duration{ static_cast<Duration::rep>(time) }, [=, this, bootNumber = runner.bootNumber] {
+          FakeEndpoint& runner = *FindEndpoint(aOrder.runner);
+          const auto found = runner.models.find(aOrder.artifact.model);
+          if (runner.bootNumber != bootNumber || !runner.isAlive || found == runner.models.end()) {
+            return;
+          }
+          found->second.ready = true;
+          runner.orderOutcomes[aOrder.order] = OrderOutcome::kDone;
+          OrderResult done = result;
+          done.outcome = OrderOutcome::kDone;
+          done.inventory = MakeInventory(runner);
+          if (!mHosts[aHost].isCutFromRunners && !RandomBool(mLostMessageProbability)) {
+            DeliverEvent(aHost, generation, done, 1ms);
+          }
+        });
     }
     if (!isLoad && runner.models.erase(model) > 0) {
       for (const auto& [request, where] : runner.running) {
         if (where.second == model && mHosts[where.first].node != nullptr) {
-          Violate("cut stream",
-                  request.str() + " was still running on an unloaded model of " + runner.id.str());
+          RecordViolation("cut stream",
+                          request.str() + " was still running on an unloaded model of " +
+                            runner.id.str());
         }
       }
     }
-    runner.orders[aOrder.order] = result.outcome;
+    runner.orderOutcomes[aOrder.order] = result.outcome;
   }
-  CheckRunners();
-  result.inventory = InventoryOf(runner);
+  CheckLoadedModels();
+  result.inventory = MakeInventory(runner);
   return result;
 }
 
-void World::CheckRunners()
+void World::CheckLoadedModels()
 {
   std::map<ModelId, std::uint32_t> replicas;
   for (const FakeEndpoint& endpoint : mEndpoints) {
@@ -160,19 +163,19 @@
     for (const auto& [model, loaded] : endpoint.models) {
       used += loaded.memory.value;
       if (++replicas[model] > 1) {
-        Violate("replicas",
-                model.str() + " is loaded more than once, last seen on " + endpoint.id.str());
+        RecordViolation(
+          "replicas", model.str() + " is loaded more than once, last seen on " + endpoint.id.str());
       }
     }
     if (used > (kRunnerMemory - kKvCache).value) {
-      Violate("memory", endpoint.id.str() + " holds models that exceed its weight memory");
+      RecordViolation("memory", endpoint.id.str() + " holds models that exceed its weight memory");
     }
   }
 }
 
-Inventory World::InventoryOf(const FakeEndpoint& aEndpoint) const
+Inventory World::MakeInventory(const FakeEndpoint& aEndpoint) const
 {
-  Inventory inventory{ .bootId = std::to_string(aEndpoint.boot), .memory = kRunnerMemory };
+  Inventory inventory{ .bootId = std::to_string(aEndpoint.bootNumber), .memory = kRunnerMemory };
   for (const auto& [model, loaded] : aEndpoint.models) {
     inventory.models.push_back({ .model = model,
                                  .version = loaded.version,
@@ -189,59 +192,65 @@
 {
   FakeEndpoint& endpoint = mEndpoints[aEndpoint];
   endpoint.isAlive = false;
-  ++endpoint.boot;
+  ++endpoint.bootNumber;
   endpoint.models.clear();
-  endpoint.orders.clear();
+  endpoint.orderOutcomes.clear();
   endpoint.running.clear();
-  endpoint.fence = {};
+  endpoint.highestFence = {};
   endpoint.leavingSince.reset();
-  endpoint.noticedAt.reset();
-  After(aDowntime, [this, aEndpoint] { mEndpoints[aEndpoint].isAlive = true; });
+  endpoint.knownLeavingAt.reset();
+  Schedule(aDowntime, [this, aEndpoint] { mEndpoints[aEndpoint].isAlive = true; });
 }
 
-void World::Leave(std::size_t aEndpoint)
+void World::StartLeaving(std::size_t aEndpoint)
 {
   FakeEndpoint& endpoint = mEndpoints[aEndpoint];
   if (!endpoint.isAlive || endpoint.leavingSince) {
     return;
   }
   endpoint.leavingSince = mNow;
-  After(7s, [this, aEndpoint, boot = endpoint.boot] {
-    if (mEndpoints[aEndpoint].boot == boot) {
+  Schedule(7s, [this, aEndpoint, bootNumber = endpoint.bootNumber] {
+    if (mEndpoints[aEndpoint].bootNumber == bootNumber) {
       CrashEndpoint(aEndpoint, 2s);
     }
   });
 }
 
-void World::AcceptConfiguration(bool aIsRace)
+void World::AcceptConfiguration(bool aIsConcurrent)
 {
   if (mIsTableDown) {
-    After(1s, [=, this] { AcceptConfiguration(aIsRace); });
+    Schedule(1s, [=, this] { AcceptConfiguration(aIsConcurrent); });
     return;
   }
   const RowKey key = ConfigurationHeadKey();
-  const RowVersion seen = mRows[key].version;
-  const std::uint64_t version = mAcceptedAt.empty() ? 1 : mAcceptedAt.rbegin()->first + 1;
+  const RowVersion expectedVersion = mRows[key].version;
+  const std::uint64_t version =
+    mConfigurationAcceptedAt.empty() ? 1 : mConfigurationAcceptedAt.rbegin()->first + 1;
   ConfigurationRow row{ .version = { version }, .document = "first" };
-  const TableTransaction first{ ChangeId{ "first" }, { { key, seen } }, { { key, { row } } } };
-  mAcceptedAt[version] = mNow;
+  const TableTransaction firstChange{ ChangeId{ "first" },
+                                      { { key, expectedVersion } },
+                                      { { key, { row } } } };
+  mConfigurationAcceptedAt[version] = mNow;
   mConfigurations[version] = MakeConfiguration(version, mScenario.check);
-  Commit(first);
+  CommitTransaction(firstChange);
   // The daemon that accepted the operator's change gets the configuration at once.
   for (std::size_t index = 0; index < mHosts.size(); ++index) {
-    const Host& host = mHosts[index];
-    if (host.node != nullptr && !host.isTableCut && !host.isFrozen) {
-      Deliver(index, host.generation, ConfigurationLoaded{ row, mConfigurations[version] }, 1ms);
+    const DaemonHost& host = mHosts[index];
+    if (host.node != nullptr && !host.isCutFromTable && !host.isFrozen) {
+      DeliverEvent(
+        index, host.generation, ConfigurationLoaded{ row, mConfigurations[version] }, 1ms);
       break;
     }
   }
-  if (!aIsRace) {
+  if (!aIsConcurrent) {
     return;
   }
   row.document = "second";
-  const TableTransaction second{ ChangeId{ "second" }, { { key, seen } }, { { key, { row } } } };
-  if (Commit(second).outcome != TransactionOutcome::kConflict) {
-    Violate("configuration", "both of two concurrent changes were committed");
+  const TableTransaction secondChange{ ChangeId{ "second" },
+                                       { { key, expectedVersion } },
+                                       { { key, { row } } } };
+  if (CommitTransaction(secondChange).outcome != TransactionOutcome::kConflict) {
+    RecordViolation("configuration", "both of two concurrent changes were committed");
   }
 }
 
@@ -251,31 +260,32 @@
   for (const FakeEndpoint& endpoint : mEndpoints) {
     // An endpoint is listed also while its process is down.
     list.push_back({ .id = endpoint.id.str(),
-                     .bootId = std::to_string(endpoint.boot),
+                     .bootId = std::to_string(endpoint.bootNumber),
                      .service = endpoint.service,
                      .zone = ZoneId{ "z" },
                      .address = endpoint.id.str(),
                      .state = endpoint.leavingSince ? HostState::kLeaving : HostState::kLive });
   }
-  for (const Host& host : mHosts) {
+  for (const DaemonHost& host : mHosts) {
     if (host.node != nullptr) {
       list.push_back({ .kind = HostKind::kDaemon, .id = host.id.str(), .address = host.id.str() });
     }
   }
-  mLists.emplace_back(mNow, std::move(list));
-  const auto* known = &mLists.front();
-  for (const auto& item : mLists) {
-    known = item.first + mListLag <= mNow ? &item : known;
+  mHostLists.emplace_back(mNow, std::move(list));
+  const auto* known = &mHostLists.front();
+  for (const auto& item : mHostLists) {
+    known = item.first + mHostListAge <= mNow ? &item : known;
   }
   for (std::size_t index = 0; index < mHosts.size(); ++index) {
-    Deliver(index, mHosts[index].generation, HostListReceived{ known->second }, Between(1ms, 5ms));
+    DeliverEvent(
+      index, mHosts[index].generation, HostListReceived{ known->second }, RandomDuration(1ms, 5ms));
   }
   for (FakeEndpoint& endpoint : mEndpoints) {
-    if (endpoint.leavingSince && *endpoint.leavingSince + mListLag < known->first) {
-      endpoint.noticedAt = endpoint.noticedAt.value_or(mNow);
+    if (endpoint.leavingSince && *endpoint.leavingSince + mHostListAge < known->first) {
+      endpoint.knownLeavingAt = endpoint.knownLeavingAt.value_or(mNow);
     }
   }
-  After(500ms, [this] { PublishHosts(); });
+  Schedule(500ms, [this] { PublishHosts(); });
 }
 
 } // namespace rhubarbtrail::matrix
