--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -22,14 +22,14 @@
 using asio::ip::tcp;
 
 /* A test fails when an expected event has not happened within this time. */
-constexpr auto kPatience = std::chrono::seconds{ 10 };
+constexpr auto kTestTimeout = std::chrono::seconds{ 10 };
 
 /* Runs the loop until a condition holds. Returns false when it does not hold within the time limit.
  */
 template<typename Condition>
 bool RunUntil(asio::io_context& aLoop, const Condition& aCondition)
 {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   aLoop.restart();
   while (!aCondition()) {
     if (std::chrono::steady_clock::now() > end) {
@@ -41,13 +41,13 @@
 }
 
 /* A server that stores the requests it gets and answers none by itself. */
-struct Site
+struct ServerFixture
 {
-  Site()
+  ServerFixture()
     : server(loop,
              { .address = "127.0.0.1:0" },
              [this](Request aRequest, std::shared_ptr<Responder> aResponder) {
-               aResponder->OnGone([this] { ++gone; });
+               aResponder->OnGone([this] { ++disconnectCount; });
                requests.push_back(std::move(aRequest));
                responders.push_back(std::move(aResponder));
              })
@@ -83,15 +83,15 @@
   asio::io_context loop{ 1 };
   std::vector<Request> requests;
   std::vector<std::shared_ptr<Responder>> responders;
-  int gone = 0;
+  int disconnectCount = 0;
   Server server;
 };
 
 /* An endpoint that answers each read of a request with the next of the given texts, over all its
  * connections, and a client that calls it. */
-struct Endpoint
+struct ScriptedEndpoint
 {
-  explicit Endpoint(std::vector<std::string> aAnswers)
+  explicit ScriptedEndpoint(std::vector<std::string> aAnswers)
     : answers(std::move(aAnswers))
     , acceptor(loop, { asio::ip::make_address("127.0.0.1"), 0 })
     , client(loop, {})
@@ -103,7 +103,7 @@
   {
     acceptor.async_accept([this](boost::system::error_code aError, tcp::socket aSocket) {
       if (!aError) {
-        ++connections;
+        ++connectionCount;
         sockets.push_back(std::make_unique<tcp::socket>(std::move(aSocket)));
         Read(*sockets.back());
         Accept();
@@ -117,13 +117,13 @@
     aSocket.async_read_some(
       asio::buffer(*buffer),
       [this, &aSocket, buffer](boost::system::error_code aError, std::size_t) {
-        if (aError || next >= answers.size()) {
+        if (aError || nextAnswer >= answers.size()) {
           return;
         }
-        const std::string answer = answers[next++];
+        const std::string answer = answers[nextAnswer++];
         boost::system::error_code ignored;
         asio::write(aSocket, asio::buffer(answer), ignored);
-        if (isClosing) {
+        if (closesAfterAnswer) {
           aSocket.close(ignored);
           return;
         }
@@ -160,9 +160,9 @@
 
   asio::io_context loop{ 1 };
   std::vector<std::string> answers;
-  std::size_t next = 0;
-  bool isClosing = false;
-  int connections = 0;
+  std::size_t nextAnswer = 0;
+  bool closesAfterAnswer = false;
+  int connectionCount = 0;
   unsigned status = 0;
   std::string body;
   tcp::acceptor acceptor;
@@ -209,156 +209,157 @@
   };
   for (const auto& [name, bytes] : cases) {
     INFO(name);
-    Site site;
-    const std::string answer = site.Exchange(bytes);
+    ServerFixture fixture;
+    const std::string answer = fixture.Exchange(bytes);
     CHECK(answer.starts_with("HTTP/1.1 4"));
-    CHECK(site.requests.empty());
+    CHECK(fixture.requests.empty());
   }
 }
 
 TEST_CASE("a chunked body is delivered without its framing")
 {
-  Site site;
-  site.Exchange("POST /a?b=c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-                "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n");
-  REQUIRE(site.requests.size() == 1);
-  CHECK(site.requests[0].body == "hello!");
-  CHECK(site.requests[0].target == "/a?b=c");
+  ServerFixture fixture;
+  fixture.Exchange("POST /a?b=c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+                   "5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n");
+  REQUIRE(fixture.requests.size() == 1);
+  CHECK(fixture.requests[0].body == "hello!");
+  CHECK(fixture.requests[0].target == "/a?b=c");
 }
 
 TEST_CASE("requests beyond the header or body limit are rejected")
 {
-  Site site;
-  site.server.SetLimits({ .headerBytes = 1'000, .bodyBytes = 100 });
-  CHECK(site.Exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(2'000, 'x') + "\r\n\r\n")
+  ServerFixture fixture;
+  fixture.server.SetLimits({ .headerBytes = 1'000, .bodyBytes = 100 });
+  CHECK(fixture.Exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(2'000, 'x') + "\r\n\r\n")
           .starts_with("HTTP/1.1 431"));
-  CHECK(site.Exchange("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 200\r\n\r\n")
+  CHECK(fixture.Exchange("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 200\r\n\r\n")
           .starts_with("HTTP/1.1 413"));
-  CHECK(site.requests.empty());
+  CHECK(fixture.requests.empty());
 }
 
 TEST_CASE("the server reports that a client has closed its connection during a request")
 {
-  Site site;
-  auto socket = site.Connect();
+  ServerFixture fixture;
+  auto socket = fixture.Connect();
   asio::write(*socket, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
-  REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
   socket->close();
-  CHECK(RunUntil(site.loop, [&] { return site.gone == 1; }));
+  CHECK(RunUntil(fixture.loop, [&] { return fixture.disconnectCount == 1; }));
 }
 
 TEST_CASE("pipelined requests are handled one after the other")
 {
-  Site site;
-  auto socket = site.Connect();
-  const std::string one = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
-  asio::write(*socket, asio::buffer(one + "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n"));
-  REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
-  site.responders[0]->Send({ .status = 200, .reason = "OK" }, "first");
-  REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 2; }));
-  CHECK(site.requests[1].target == "/2");
+  ServerFixture fixture;
+  auto socket = fixture.Connect();
+  const std::string firstRequest = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
+  asio::write(*socket, asio::buffer(firstRequest + "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n"));
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
+  fixture.responders[0]->Send({ .status = 200, .reason = "OK" }, "first");
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 2; }));
+  CHECK(fixture.requests[1].target == "/2");
 }
 
 TEST_CASE("a new connection is served while many connections are idle")
 {
-  Site site;
+  ServerFixture fixture;
   std::vector<std::unique_ptr<tcp::socket>> open;
   for (int number = 0; number < 400;
        ++number) { // Both ends stay below the usual limit of 1024 descriptors.
-    open.push_back(site.Connect());
+    open.push_back(fixture.Connect());
   }
-  REQUIRE(RunUntil(site.loop, [&] { return site.server.counts().connections == 400; }));
-  auto socket = site.Connect();
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.server.counts().connections == 400; }));
+  auto socket = fixture.Connect();
   asio::write(*socket, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
-  CHECK(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
+  CHECK(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
 }
 
 TEST_CASE("closing idle connections keeps a connection on which a request has arrived")
 {
-  Site site;
-  auto idle = site.Connect();
-  auto busy = site.Connect();
-  REQUIRE(RunUntil(site.loop, [&] { return site.server.counts().connections == 2; }));
+  ServerFixture fixture;
+  auto idle = fixture.Connect();
+  auto busy = fixture.Connect();
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.server.counts().connections == 2; }));
   asio::write(*busy, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
   std::this_thread::sleep_for(
     std::chrono::milliseconds{ 50 }); // Until the request has arrived over loopback.
-  site.server.CloseIdle();
-  REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
-  CHECK(site.server.counts().connections == 1);
-  CHECK_FALSE(site.server.IsQuiet());
+  fixture.server.CloseIdle();
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
+  CHECK(fixture.server.counts().connections == 1);
+  CHECK_FALSE(fixture.server.IsQuiet());
 }
 
 TEST_CASE("an aborted chunked answer has no final chunk")
 {
-  Site site;
-  auto socket = site.Connect();
+  ServerFixture fixture;
+  auto socket = fixture.Connect();
   asio::write(*socket, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
-  REQUIRE(RunUntil(site.loop, [&] { return site.requests.size() == 1; }));
-  site.responders[0]->SendHead({ .status = 200, .reason = "OK", .framing = Framing::kChunked });
-  site.responders[0]->SendBody("part");
-  site.responders[0]->Abort();
+  REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
+  fixture.responders[0]->SendHead({ .status = 200, .reason = "OK", .framing = Framing::kChunked });
+  fixture.responders[0]->SendBody("part");
+  fixture.responders[0]->Abort();
   std::string answer;
   bool isClosed = false;
   asio::async_read(*socket,
                    asio::dynamic_buffer(answer),
                    [&](boost::system::error_code, std::size_t) { isClosed = true; });
-  REQUIRE(RunUntil(site.loop, [&] { return isClosed; }));
+  REQUIRE(RunUntil(fixture.loop, [&] { return isClosed; }));
   CHECK(answer.ends_with("4\r\npart\r\n"));
 }
 
 TEST_CASE("a connection is reused after a complete answer, but not after surplus bytes")
 {
-  Endpoint clean({ Answer("a"), Answer("b") });
+  ScriptedEndpoint clean({ Answer("a"), Answer("b") });
   CHECK(clean.Call() == CallResult::kComplete);
   CHECK(clean.Call() == CallResult::kComplete);
   CHECK(clean.body == "b");
-  CHECK(clean.connections == 1);
+  CHECK(clean.connectionCount == 1);
 
-  Endpoint extra({ Answer("a") + Answer("extra"), Answer("b") });
+  ScriptedEndpoint extra({ Answer("a") + Answer("extra"), Answer("b") });
   CHECK(extra.Call() == CallResult::kComplete);
   CHECK(extra.body == "a");
   CHECK(extra.Call() == CallResult::kComplete);
   CHECK(extra.body == "b");
-  CHECK(extra.connections == 2);
+  CHECK(extra.connectionCount == 2);
 }
 
 TEST_CASE("a call with Reuse::kFresh opens a new connection")
 {
-  Endpoint endpoint({ Answer("a"), Answer("b") });
+  ScriptedEndpoint endpoint({ Answer("a"), Answer("b") });
   CHECK(endpoint.Call() == CallResult::kComplete);
   CHECK(endpoint.Call(Reuse::kFresh) == CallResult::kComplete);
-  CHECK(endpoint.connections == 2);
+  CHECK(endpoint.connectionCount == 2);
 }
 
 TEST_CASE("an answer to another request is skipped")
 {
-  Endpoint endpoint({ Answer("other", "X-Id: 1\r\n") + Answer("mine", "X-Id: 2\r\n") });
+  ScriptedEndpoint endpoint({ Answer("other", "X-Id: 1\r\n") + Answer("mine", "X-Id: 2\r\n") });
   CHECK(endpoint.Call(Reuse::kAllowed, "2") == CallResult::kComplete);
   CHECK(endpoint.body == "mine");
 }
 
 TEST_CASE("a truncated answer is broken, and an answer without a length ends with its connection")
 {
-  Endpoint cut({ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf" });
-  cut.isClosing = true;
+  ScriptedEndpoint cut({ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf" });
+  cut.closesAfterAnswer = true;
   CHECK(cut.Call() == CallResult::kBroken);
 
-  Endpoint chunked({ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n" });
-  chunked.isClosing = true;
+  ScriptedEndpoint chunked(
+    { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n" });
+  chunked.closesAfterAnswer = true;
   CHECK(chunked.Call() == CallResult::kBroken);
 
-  Endpoint open({ "HTTP/1.1 200 OK\r\n\r\nwhole" });
-  open.isClosing = true;
+  ScriptedEndpoint open({ "HTTP/1.1 200 OK\r\n\r\nwhole" });
+  open.closesAfterAnswer = true;
   CHECK(open.Call() == CallResult::kComplete);
   CHECK(open.body == "whole");
 }
 
 TEST_CASE("a malformed answer ends a call, and an interim answer does not")
 {
-  Endpoint nonsense({ "nonsense\r\n\r\n" });
+  ScriptedEndpoint nonsense({ "nonsense\r\n\r\n" });
   CHECK(nonsense.Call() == CallResult::kMalformed);
 
-  Endpoint interim({ "HTTP/1.1 103 Early Hints\r\n\r\n" + Answer("final") });
+  ScriptedEndpoint interim({ "HTTP/1.1 103 Early Hints\r\n\r\n" + Answer("final") });
   CHECK(interim.Call() == CallResult::kComplete);
   CHECK(interim.status == 200);
   CHECK(interim.body == "final");
@@ -366,7 +367,7 @@
 
 TEST_CASE("a call to an address at which nothing listens ends as not connected")
 {
-  Endpoint endpoint({});
+  ScriptedEndpoint endpoint({});
   endpoint.acceptor.close();
   asio::io_context loop{ 1 };
   Client client(loop, {});
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-const std::string kEntry =
+const std::string kRunnerEntry =
   R"({"backend":"s1","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":64,)"
   R"("state":"ready","coldLeftMs":0,"models":[{"name":"m1","version":1,"adapters":["a1@2","a3"]}],)"
   R"("seq":4,"born":17,"atHand":{"inMemory":["m1"],"onDisk":["m1","m2"]}})";
@@ -38,7 +38,7 @@
   R"("idleTimeoutMs":15000}})";
 
 /* Returns the text with the first occurrence of a part replaced. */
-std::string With(std::string aText, const std::string& aOld, const std::string& aNew)
+std::string ReplacePart(std::string aText, const std::string& aOld, const std::string& aNew)
 {
   const auto position = aText.find(aOld);
   REQUIRE(position != std::string::npos);
@@ -49,7 +49,7 @@
 
 TEST_CASE("a runner entry is decoded")
 {
-  const auto entry = DecodeRunnerEntry("i-1", kEntry);
+  const auto entry = DecodeRunnerEntry("i-1", kRunnerEntry);
   REQUIRE(entry.has_value());
   CHECK(entry->service == ServiceId{ "s1" });
   CHECK(entry->slots == 64);
@@ -66,18 +66,18 @@
     { "bytes", std::string("\xff\x00\x01", 3) },
     { "a list", "[]" },
     { "empty", "" },
-    { "no service", With(kEntry, R"("backend":"s1",)", "") },
-    { "service is a number", With(kEntry, R"("backend":"s1")", R"("backend":1)") },
-    { "address without port", With(kEntry, "10.0.0.9:8080", "10.0.0.9") },
-    { "address is a list", With(kEntry, R"("10.0.0.9:8080")", "[]") },
-    { "unknown state", With(kEntry, R"("ready")", R"("sleeping")") },
-    { "state is null", With(kEntry, R"("ready")", "null") },
-    { "negative slots", With(kEntry, R"("slots":64)", R"("slots":-1)") },
-    { "slots is a text", With(kEntry, R"("slots":64)", R"("slots":"64")") },
-    { "models is a text", With(kEntry, R"([{"name":"m1")", R"(["m1",{"name":"m1")") },
-    { "adapters is a number", With(kEntry, R"(["a1@2","a3"])", "3") },
-    { "born is a text", With(kEntry, R"("born":17)", R"("born":"x")") },
-    { "onDisk holds numbers", With(kEntry, R"(["m1","m2"])", "[1,2]") },
+    { "no service", ReplacePart(kRunnerEntry, R"("backend":"s1",)", "") },
+    { "service is a number", ReplacePart(kRunnerEntry, R"("backend":"s1")", R"("backend":1)") },
+    { "address without port", ReplacePart(kRunnerEntry, "10.0.0.9:8080", "10.0.0.9") },
+    { "address is a list", ReplacePart(kRunnerEntry, R"("10.0.0.9:8080")", "[]") },
+    { "unknown state", ReplacePart(kRunnerEntry, R"("ready")", R"("sleeping")") },
+    { "state is null", ReplacePart(kRunnerEntry, R"("ready")", "null") },
+    { "negative slots", ReplacePart(kRunnerEntry, R"("slots":64)", R"("slots":-1)") },
+    { "slots is a text", ReplacePart(kRunnerEntry, R"("slots":64)", R"("slots":"64")") },
+    { "models is a text", ReplacePart(kRunnerEntry, R"([{"name":"m1")", R"(["m1",{"name":"m1")") },
+    { "adapters is a number", ReplacePart(kRunnerEntry, R"(["a1@2","a3"])", "3") },
+    { "born is a text", ReplacePart(kRunnerEntry, R"("born":17)", R"("born":"x")") },
+    { "onDisk holds numbers", ReplacePart(kRunnerEntry, R"(["m1","m2"])", "[1,2]") },
   };
   for (const auto& [name, document] : cases) {
     INFO(name);
@@ -87,8 +87,8 @@
 
 TEST_CASE("every truncation of a runner entry or a configuration is rejected without an exception")
 {
-  for (std::size_t length = 0; length < kEntry.size(); ++length) {
-    CHECK_FALSE(DecodeRunnerEntry("i-1", kEntry.substr(0, length)).has_value());
+  for (std::size_t length = 0; length < kRunnerEntry.size(); ++length) {
+    CHECK_FALSE(DecodeRunnerEntry("i-1", kRunnerEntry.substr(0, length)).has_value());
   }
   for (std::size_t length = 0; length < kConfiguration.size(); ++length) {
     CHECK_FALSE(DecodeConfiguration(kConfiguration.substr(0, length)).has_value());
@@ -128,7 +128,7 @@
 TEST_CASE("a route of unknown kind may be neither repeated nor resumed")
 {
   const auto configuration =
-    DecodeConfiguration(With(kConfiguration, R"("streaming")", R"("something_new")"));
+    DecodeConfiguration(ReplacePart(kConfiguration, R"("streaming")", R"("something_new")"));
   REQUIRE(configuration.has_value());
   CHECK_FALSE(configuration->Match("h", "/a/x")->MayRepeatOrResume());
 }
@@ -154,40 +154,40 @@
                                            { "Transfer-Encoding", "chunked" },
                                            { "X-Custom", "kept" } },
                                .body = "body" };
-  const auto client = DecodeClientRequest(request);
-  CHECK(client.requestId == "id");
-  CHECK(client.timeLeft == 1'500ms);
-  REQUIRE(client.work.has_value());
-  CHECK(client.work->target.adapter == AdapterId{ "a2" });
-  CHECK(client.work->promptTokens == 1'460);
-  REQUIRE(client.work->parts.size() == 2);
-  CHECK(client.work->parts[0].id == 0x5c);
-  const auto forward = EncodeForwardedRequest(
+  const auto clientRequest = DecodeClientRequest(request);
+  CHECK(clientRequest.requestId == "id");
+  CHECK(clientRequest.timeLeft == 1'500ms);
+  REQUIRE(clientRequest.work.has_value());
+  CHECK(clientRequest.work->target.adapter == AdapterId{ "a2" });
+  CHECK(clientRequest.work->promptTokens == 1'460);
+  REQUIRE(clientRequest.work->parts.size() == 2);
+  CHECK(clientRequest.work->parts[0].id == 0x5c);
+  const auto forwarded = EncodeForwardedRequest(
     request,
     { .endpoint = EndpointId{ "i-1" }, .timeLeft = 700ms, .priority = 2, .hasPriority = true });
-  CHECK(forward.method == "POST");
-  CHECK(forward.target == "/a/x?q=1");
-  CHECK(forward.body == "body");
-  CHECK(http::Find(forward.fields, "X-Deadline-Ms") == "700");
-  CHECK(http::Find(forward.fields, "X-Target-Instance") == "i-1");
-  CHECK(http::Find(forward.fields, "X-Request-Priority") == "2");
-  CHECK(http::Find(forward.fields, "X-Custom") == "kept");
-  CHECK(http::Find(forward.fields, "X-Prompt-Prefix") == "5c:800,9:410");
+  CHECK(forwarded.method == "POST");
+  CHECK(forwarded.target == "/a/x?q=1");
+  CHECK(forwarded.body == "body");
+  CHECK(http::Find(forwarded.fields, "X-Deadline-Ms") == "700");
+  CHECK(http::Find(forwarded.fields, "X-Target-Instance") == "i-1");
+  CHECK(http::Find(forwarded.fields, "X-Request-Priority") == "2");
+  CHECK(http::Find(forwarded.fields, "X-Custom") == "kept");
+  CHECK(http::Find(forwarded.fields, "X-Prompt-Prefix") == "5c:800,9:410");
   for (const char* dropped :
        { "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "X-Private", "Transfer-Encoding" }) {
     INFO(dropped);
-    CHECK_FALSE(http::Find(forward.fields, dropped).has_value());
+    CHECK_FALSE(http::Find(forwarded.fields, dropped).has_value());
   }
 }
 
 TEST_CASE("an endpoint's answer is classified by its status and header fields")
 {
-  const auto full = DecodeEndpointAnswer(
+  const auto refusal = DecodeEndpointAnswer(
     { .status = 503, .fields = { { "X-Not-Executed", "1" }, { "X-Server-Load", "3,1,8" } } });
-  CHECK(full.isNotRun);
-  CHECK_FALSE(full.hasSignature);
-  REQUIRE(full.load.has_value());
-  CHECK(full.load->waiting == 1);
+  CHECK(refusal.isNotRun);
+  CHECK_FALSE(refusal.hasSignature);
+  REQUIRE(refusal.load.has_value());
+  CHECK(refusal.load->waiting == 1);
   CHECK(DecodeEndpointAnswer({ .status = 421 }).isNotRun);
   CHECK_FALSE(DecodeEndpointAnswer({ .status = 503 }).isNotRun);
   CHECK(DecodeEndpointAnswer({ .status = 200, .fields = { { "Content-Encoding", "gzip" } } })
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kOpen = std::optional<OperatorRole>{};
+constexpr auto kNoRole = std::optional<OperatorRole>{};
 constexpr std::optional kView = OperatorRole::kView;
 constexpr std::optional kOperate = OperatorRole::kOperate;
 constexpr std::optional kConfigure = OperatorRole::kConfigure;
@@ -22,8 +22,8 @@
 /* All calls of the API with the role that they require. A test checks that the server registers
  * exactly these calls. */
 const std::vector<AdminRoute> kCalls{
-  { "GET", "/health", kOpen },
-  { "GET", "/ready", kOpen },
+  { "GET", "/health", kNoRole },
+  { "GET", "/ready", kNoRole },
   { "GET", "/dump", kView },
   { "GET", "/status", kView },
   { "GET", "/metrics", kView },
@@ -38,10 +38,10 @@
 };
 
 /* A server on loopback whose table service does not answer. */
-class Fixture
+class AdminServerFixture
 {
 public:
-  Fixture()
+  AdminServerFixture()
     : mTable({ .address = "127.0.0.1:1", .timeout = 200ms })
     , mStore(mTable)
     , mSnapshot(std::make_unique<const Snapshot>())
@@ -56,7 +56,7 @@
                   },
                 .metrics = [] { return std::string{ "m 1\n" }; },
                 .onConfigurationAccepted = [](const ConfigurationRow&) {},
-                .drain = [this] { ++mDrains; },
+                .drain = [this] { ++mDrainCount; },
                 .releaseFromQuarantine = [](const FingerprintId&) {} })
     , mPort(mServer.Start())
   {
@@ -78,13 +78,13 @@
 
   const AdminServer& server() const { return mServer; }
   std::uint16_t port() const { return mPort; }
-  int drains() const { return mDrains; }
+  int drainCount() const { return mDrainCount; }
 
 private:
   TableClient mTable;
   ConfigurationStore mStore;
   RcuPointer<Snapshot> mSnapshot;
-  int mDrains = 0;
+  int mDrainCount = 0;
   AdminServer mServer;
   std::uint16_t mPort;
 };
@@ -93,7 +93,7 @@
 
 TEST_CASE("The server registers exactly the listed calls with their roles")
 {
-  const Fixture fixture;
+  const AdminServerFixture fixture;
   std::set<std::string> expected;
   std::set<std::string> registered;
   const auto describe = [](const AdminRoute& aCall) {
@@ -111,7 +111,7 @@
 
 TEST_CASE("Only health and readiness are served without a key, and each role allows only its calls")
 {
-  const Fixture fixture;
+  const AdminServerFixture fixture;
   const std::vector<std::pair<std::string, OperatorRole>> keys{
     { "Bearer view", OperatorRole::kView },
     { "Bearer operate", OperatorRole::kOperate },
@@ -119,10 +119,11 @@
   };
   for (const AdminRoute& call : kCalls) {
     INFO(call.method << " " << call.path);
-    for (const std::string wrong : { "", "Basic dmlldw==", "Bearer ", "Bearer wrong", "view" }) {
-      INFO("with '" << wrong << "'");
-      const int expected = wrong == "Bearer wrong" ? 403 : 401;
-      const int status = fixture.Call(call, wrong);
+    for (const std::string wrongHeader :
+         { "", "Basic dmlldw==", "Bearer ", "Bearer wrong", "view" }) {
+      INFO("with '" << wrongHeader << "'");
+      const int expected = wrongHeader == "Bearer wrong" ? 403 : 401;
+      const int status = fixture.Call(call, wrongHeader);
       CHECK((call.requiredRole ? status == expected : status != 401 && status != 403));
     }
     for (const auto& [key, role] : keys) {
@@ -132,36 +133,36 @@
       CHECK(status != 401);
     }
   }
-  CHECK(fixture.drains() == 2); // Once with the role operate and once with configure.
+  CHECK(fixture.drainCount() == 2); // Once with the role operate and once with configure.
 }
 
 TEST_CASE("A call that is not registered gets status 404 and has no effect")
 {
-  const Fixture fixture;
+  const AdminServerFixture fixture;
   CHECK(fixture.Call({ "POST", "/health", {} }, "Bearer configure") == 404);
   CHECK(fixture.Call({ "GET", "/drain", {} }, "Bearer configure") == 404);
-  CHECK(fixture.drains() == 0);
+  CHECK(fixture.drainCount() == 0);
 }
 
 TEST_CASE("Two servers cannot share a port")
 {
-  const Fixture fixture;
+  const AdminServerFixture fixture;
   TableClient table({ .address = "127.0.0.1:1" });
   const ConfigurationStore store(table);
   const RcuPointer<Snapshot> snapshot(std::make_unique<const Snapshot>());
-  AdminServer second({ .port = fixture.port() }, snapshot, store, {});
-  CHECK(second.Start() == 0);
+  AdminServer secondServer({ .port = fixture.port() }, snapshot, store, {});
+  CHECK(secondServer.Start() == 0);
 }
 
-TEST_CASE("Each bad file of operator keys gets its error, with line and reason")
+TEST_CASE("Each invalid file of operator keys gets its error, with line and reason")
 {
-  struct BadKeys
+  struct InvalidKeys
   {
     std::string text;
     std::string error;
   };
   const std::string hash(64, 'a');
-  const std::vector<BadKeys> cases{
+  const std::vector<InvalidKeys> cases{
     { "a: b", ":1: must be a list of keys" },
     { "- text", ":1: must be a mapping" },
     { "- {name: a, role: view}", ":1: hash is missing" },
@@ -174,13 +175,13 @@
     { "- [", "" },
   };
   const std::string file = "operator-keys-" + RandomHex() + ".yaml";
-  for (const BadKeys& bad : cases) {
-    std::ofstream(file) << bad.text;
+  for (const InvalidKeys& invalid : cases) {
+    std::ofstream(file) << invalid.text;
     const auto keys = LoadOperatorKeys(file);
-    INFO(bad.text);
+    INFO(invalid.text);
     REQUIRE_FALSE(keys.has_value());
     INFO(keys.error());
-    CHECK(keys.error().find(bad.error) != std::string::npos);
+    CHECK(keys.error().find(invalid.error) != std::string::npos);
   }
   std::remove(file.c_str());
 }
--- a/tests/unit/config_diff_test.cpp
+++ b/tests/unit/config_diff_test.cpp
@@ -30,7 +30,7 @@
     keep_alive: {policy: histogram}
 )";
 
-std::vector<std::string> Texts(const std::string& aBefore, const std::string& aAfter)
+std::vector<std::string> ChangesAsText(const std::string& aBefore, const std::string& aAfter)
 {
   const auto before = ParseConfiguration(aBefore, { 1 });
   const auto after = ParseConfiguration(aAfter, { 2 });
@@ -60,12 +60,12 @@
     "changed services.language.keep_alive.percentile: none -> 90",
     "changed services.language.keep_alive.policy: fixed -> histogram",
   };
-  auto texts = Texts(kBefore, kAfter);
+  auto texts = ChangesAsText(kBefore, kAfter);
   auto sorted = expected;
   std::sort(texts.begin(), texts.end());
   std::sort(sorted.begin(), sorted.end());
   CHECK(texts == sorted);
-  CHECK(Texts(kBefore, kBefore).empty());
+  CHECK(ChangesAsText(kBefore, kBefore).empty());
 }
 
 TEST_CASE("Draining a runner changes one field, and undoing it restores an equal configuration")
@@ -74,11 +74,11 @@
   const EndpointId runner{ "runner-3" };
   const auto drained = SetRunnerDrained(kBefore, service, runner, Drained::kYes);
   REQUIRE(drained.has_value());
-  CHECK(Texts(kBefore, *drained) ==
+  CHECK(ChangesAsText(kBefore, *drained) ==
         std::vector<std::string>{ "changed services.language.drained: [] -> [runner-3]" });
   CHECK(SetRunnerDrained(*drained, service, runner, Drained::kYes) == drained);
   const auto restored = SetRunnerDrained(*drained, service, runner, Drained::kNo);
   REQUIRE(restored.has_value());
-  CHECK(Texts(kBefore, *restored).empty());
+  CHECK(ChangesAsText(kBefore, *restored).empty());
   CHECK_FALSE(SetRunnerDrained(kBefore, ServiceId{ "x" }, runner, Drained::kYes).has_value());
 }
--- a/tests/unit/config_bad_documents_test.cpp
+++ b/tests/unit/config_invalid_documents_test.cpp
@@ -15,7 +15,7 @@
 const std::string kHashA(64, 'a');
 
 /* A valid document. Each case replaces one part of it. HASH stands for a key hash. */
-const std::string kGood = R"(services:
+const std::string kValidDocument = R"(services:
   language:
     kind: models
     runner_memory_mb: 80000
@@ -36,30 +36,32 @@
   families: {key_hashes: [HASH], models: [payslip], services: [ledger]}
 )";
 
-struct BadDocument
+struct InvalidDocument
 {
-  std::string part;   ///< Part of the valid document that is replaced. Empty: the whole document.
-  std::string by;     ///< Replacement.
-  int line = 0;       ///< Line of the error.
-  std::string path;   ///< Path of the error.
-  std::string reason; ///< Text that the reason must contain.
+  std::string
+    replacedPart; ///< Part of the valid document that is replaced. Empty: the whole document.
+  std::string replacement; ///< Replacement.
+  int line = 0;            ///< Line of the error.
+  std::string path;        ///< Path of the error.
+  std::string reason;      ///< Text that the reason must contain.
 };
 
-std::string Make(const BadDocument& aCase)
+std::string MakeText(const InvalidDocument& aCase)
 {
-  std::string text = aCase.part.empty() ? aCase.by : kGood;
-  if (!aCase.part.empty()) {
-    const auto at = text.find(aCase.part);
-    REQUIRE(at != std::string::npos);
-    text.replace(at, aCase.part.size(), aCase.by);
+  std::string text = aCase.replacedPart.empty() ? aCase.replacement : kValidDocument;
+  if (!aCase.replacedPart.empty()) {
+    const auto position = text.find(aCase.replacedPart);
+    REQUIRE(position != std::string::npos);
+    text.replace(position, aCase.replacedPart.size(), aCase.replacement);
   }
-  for (auto at = text.find("HASH"); at != std::string::npos; at = text.find("HASH")) {
-    text.replace(at, 4, kHashA);
+  for (auto position = text.find("HASH"); position != std::string::npos;
+       position = text.find("HASH")) {
+    text.replace(position, 4, kHashA);
   }
   return text;
 }
 
-std::string Show(const tl::expected<Configuration, std::vector<DocumentError>>& aResult)
+std::string ErrorsAsText(const tl::expected<Configuration, std::vector<DocumentError>>& aResult)
 {
   std::string text;
   if (!aResult) {
@@ -71,7 +73,7 @@
 }
 
 /* One case a row: line, path and reason of the error, the replaced part, and its replacement. */
-const std::string kChanges = R"(1 | sevices | unknown key | services: | sevices:
+const std::string kReplacementCases = R"(1 | sevices | unknown key | services: | sevices:
 15 | models | appears twice | models:\n | models:\n  payslip: {}\nmodels:\n
 13 | models | must be a mapping | models:\n  payslip: | models:\nother:\n  payslip:
 1 | classes | at least one request class | classes:\n  default: {priority: 2, deadline_ms: 30000}\n  payment: {repeat: never}\n | (nothing)
@@ -128,13 +130,13 @@
 )";
 
 /* Cases that replace the whole document, and one whose replacement is too long for a row. */
-const std::vector<BadDocument> kWholeDocuments{
+const std::vector<InvalidDocument> kWholeDocumentCases{
   { "", "", 1, "", "the document is empty" },
   { "", "just a text", 1, "", "must be a mapping" },
   { "", "- a\n- list", 1, "", "must be a mapping" },
   { "", "services: {a: [}", 1, "", "" },
   { "", "a: \"open", 1, "", "illegal EOF" },
-  { "", kGood + "---\nmore: 1\n", 20, "", "more than one document" },
+  { "", kValidDocument + "---\nmore: 1\n", 20, "", "more than one document" },
   { "", "x: " + std::string(5U << 20U, 'x'), 1, "", "larger than 4 MiB" },
   { "", "x: " + std::string(400, '[') + std::string(400, ']'), 1, "", "nested too deeply" },
   { "", "x: " + std::string(60'000, '['), 1, "", "" },
@@ -145,17 +147,18 @@
 
 std::string Unescape(std::string aText)
 {
-  for (auto at = aText.find("\\n"); at != std::string::npos; at = aText.find("\\n", at)) {
-    const bool isKept = at > 0 && aText[at - 1] == '\\';
-    isKept ? aText.erase(at++ - 1, 1) : aText.replace(at, 2, "\n");
+  for (auto position = aText.find("\\n"); position != std::string::npos;
+       position = aText.find("\\n", position)) {
+    const bool isEscaped = position > 0 && aText[position - 1] == '\\';
+    isEscaped ? aText.erase(position++ - 1, 1) : aText.replace(position, 2, "\n");
   }
   return aText == "(nothing)" ? std::string{} : aText;
 }
 
-std::vector<BadDocument> BadDocuments()
+std::vector<InvalidDocument> InvalidDocuments()
 {
-  std::vector<BadDocument> all = kWholeDocuments;
-  std::istringstream table(kChanges);
+  std::vector<InvalidDocument> all = kWholeDocumentCases;
+  std::istringstream table(kReplacementCases);
   for (std::string row; std::getline(table, row);) {
     std::vector<std::string> fields;
     for (std::size_t from = 0, to = 0; to != std::string::npos; from = to + 3) {
@@ -173,25 +176,27 @@
 
 TEST_CASE("The document from which the invalid ones are made is valid")
 {
-  const auto result = ParseConfiguration(Make({ "customers:", "customers:" }), { 7 });
-  INFO(Show(result));
+  const auto result = ParseConfiguration(MakeText({ "customers:", "customers:" }), { 7 });
+  INFO(ErrorsAsText(result));
   REQUIRE(result.has_value());
   CHECK(result->version.value == 7);
 }
 
 TEST_CASE("Each invalid document gets its error, with line, path and reason")
 {
-  const auto documents = BadDocuments();
+  const auto documents = InvalidDocuments();
   CHECK(documents.size() == 66);
-  for (const BadDocument& bad : documents) {
-    const std::string text = Make(bad);
+  for (const InvalidDocument& invalid : documents) {
+    const std::string text = MakeText(invalid);
     const auto result = ParseConfiguration(text, { 1 });
-    INFO("in place of '" << bad.part << "': " << bad.by.substr(0, 120) << "\n" << Show(result));
+    INFO("in place of '" << invalid.replacedPart << "': " << invalid.replacement.substr(0, 120)
+                         << "\n"
+                         << ErrorsAsText(result));
     REQUIRE_FALSE(result.has_value());
     const auto& errors = result.error();
     CHECK(std::any_of(errors.begin(), errors.end(), [&](const DocumentError& aError) {
-      return aError.line == bad.line && aError.path == bad.path &&
-             aError.reason.find(bad.reason) != std::string::npos;
+      return aError.line == invalid.line && aError.path == invalid.path &&
+             aError.reason.find(invalid.reason) != std::string::npos;
     }));
   }
 }
@@ -202,8 +207,8 @@
     "services: {a: {kind: x}}\nmodels:\n  m: {service: b}\nclasses: {default: {priority: -1}}\n",
     { 1 });
   REQUIRE_FALSE(result.has_value());
-  CHECK(Show(result) == "1: services.a.kind: must be one of: models, plain\n"
-                        "3: models.m.memory_mb: is missing\n"
-                        "3: models.m.service: names the unknown service 'b'\n"
-                        "4: classes.default.priority: '-1' is not a number (0 to 9)\n");
+  CHECK(ErrorsAsText(result) == "1: services.a.kind: must be one of: models, plain\n"
+                                "3: models.m.memory_mb: is missing\n"
+                                "3: models.m.service: names the unknown service 'b'\n"
+                                "4: classes.default.priority: '-1' is not a number (0 to 9)\n");
 }
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Duration kLimit = 200ms;
-constexpr const char* kEvents = "data: a\n\ndata: b\n\n";
-constexpr const char* kWholeStream = "data: a\n\ndata: b\n\ndata: [DONE]\n\n";
+constexpr Duration kTimeLimit = 200ms;
+constexpr const char* kStreamWithoutEnd = "data: a\n\ndata: b\n\n";
+constexpr const char* kCompleteStream = "data: a\n\ndata: b\n\ndata: [DONE]\n\n";
 
 struct AttemptCase
 {
@@ -40,8 +40,8 @@
            .address = aAddress,
            .resumeOffset = aOffset,
            .reuse = ConnectionReuse::kFresh,
-           .progressLimit = kLimit,
-           .timeLeft = kLimit };
+           .progressLimit = kTimeLimit,
+           .timeLeft = kTimeLimit };
 }
 
 std::vector<AttemptCase> AttemptCases()
@@ -49,14 +49,14 @@
   using enum AnswerForm;
   using enum AttemptOutcome;
   using enum AnswerFault;
-  const httplib::Headers own{ { "X-Request-Id", "id" } };
-  const httplib::Headers other{ { "X-Request-Id", "other" } };
+  const httplib::Headers ownId{ { "X-Request-Id", "id" } };
+  const httplib::Headers otherId{ { "X-Request-Id", "other" } };
   const httplib::Headers leaving{ { "X-Refusal", "leaving" } };
   const httplib::Headers notLoaded{ { "X-Refusal", "not-loaded" } };
-  const std::string type = "text/event-stream";
+  const std::string eventStreamType = "text/event-stream";
   return {
-    { "whole", kWhole, { .body = "{}", .headers = own }, kCompleted },
-    { "answer to another request", kWhole, { .body = "{}", .headers = other }, kMismatched },
+    { "whole", kWhole, { .body = "{}", .headers = ownId }, kCompleted },
+    { "answer to another request", kWhole, { .body = "{}", .headers = otherId }, kMismatched },
     { "truncated", kWhole, { .body = "{}", .fault = kTruncated }, kCut },
     { "no length", kWhole, { .body = "{}", .fault = kNoLength }, kCut },
     { "late", kWhole, { .body = "{}", .fault = kLate }, kSilent },
@@ -64,32 +64,44 @@
     { "refusal by the engine's own checks", kWhole, { .status = 400, .body = "{}" }, kCompleted },
     { "leaving", kWhole, { .status = 503, .headers = leaving }, kLeaving },
     { "not loaded", kWhole, { .status = 503, .headers = notLoaded }, kNotRun },
-    { "stream", kStream, { .body = kWholeStream, .contentType = type }, kCompleted, 3 },
-    { "no end mark", kStream, { .body = kEvents, .contentType = type }, kCut, 2 },
+    { "stream",
+      kStream,
+      { .body = kCompleteStream, .contentType = eventStreamType },
+      kCompleted,
+      3 },
+    { "no end mark",
+      kStream,
+      { .body = kStreamWithoutEnd, .contentType = eventStreamType },
+      kCut,
+      2 },
     { "end mark, then cut",
       kStream,
-      { .body = kWholeStream, .fault = kTruncated, .contentType = type },
+      { .body = kCompleteStream, .fault = kTruncated, .contentType = eventStreamType },
       kCompleted,
       3 },
-    { "cut", kStream, { .body = kEvents, .fault = kTruncated, .contentType = type }, kCut, 2 },
-    { "truncated event", kStream, { .body = "data: a", .contentType = type }, kCut, 0 },
+    { "cut",
+      kStream,
+      { .body = kStreamWithoutEnd, .fault = kTruncated, .contentType = eventStreamType },
+      kCut,
+      2 },
+    { "truncated event", kStream, { .body = "data: a", .contentType = eventStreamType }, kCut, 0 },
     { "stream of another request",
       kStream,
-      { .body = kWholeStream, .headers = other, .contentType = type },
+      { .body = kCompleteStream, .headers = otherId, .contentType = eventStreamType },
       kMismatched,
       0 },
-    { "silent", kStream, { .body = kWholeStream, .fault = kLate }, kSilent, 0 },
+    { "silent", kStream, { .body = kCompleteStream, .fault = kLate }, kSilent, 0 },
   };
 }
 
-/* Waits for the next part of an answer. Returns nothing when none has arrived within kLimit. */
-std::optional<AnswerPart> WaitPart(Session& aSession)
+/* Waits for the next part of an answer. Returns nothing when none has arrived within kTimeLimit. */
+std::optional<AnswerPart> WaitForPart(Session& aSession)
 {
-  const auto told = std::make_shared<std::counting_semaphore<>>(
+  const auto notified = std::make_shared<std::counting_semaphore<>>(
     0); // The session can call the listener after this function has returned.
-  aSession.SetListener([told] { told->release(); });
+  aSession.SetListener([notified] { notified->release(); });
   auto part = aSession.TakePart();
-  if (!part && told->try_acquire_for(kLimit)) {
+  if (!part && notified->try_acquire_for(kTimeLimit)) {
     part = aSession.TakePart();
   }
   aSession.SetListener(nullptr);
@@ -107,31 +119,31 @@
     const AttemptEnded ended = RunAttempt(*session, MakeAttempt(server.address()));
     CHECK(static_cast<int>(ended.outcome) == static_cast<int>(item.outcome));
     CHECK(ended.delivered == item.delivered);
-    CHECK(server.calls() == 1);
+    CHECK(server.callCount() == 1);
   }
 }
 
 TEST_CASE("an attempt whose request was not sent ends as not connected")
 {
-  const auto refused = MakeSession(AnswerForm::kWhole);
-  CHECK(RunAttempt(*refused, MakeAttempt(ClosedAddress())).outcome ==
+  const auto unreachable = MakeSession(AnswerForm::kWhole);
+  CHECK(RunAttempt(*unreachable, MakeAttempt(ClosedAddress())).outcome ==
         AttemptOutcome::kNotConnected);
   const FakeServer server({ .body = "{}" });
   const auto stopped = MakeSession(AnswerForm::kWhole);
   stopped->StopAttempt(AttemptNumber{ 2 });
   CHECK(RunAttempt(*stopped, MakeAttempt(server.address())).outcome ==
         AttemptOutcome::kNotConnected);
-  CHECK(server.calls() == 0);
+  CHECK(server.callCount() == 0);
 }
 
 TEST_CASE("a resumed stream has each event once, whether or not the engine honours the offset")
 {
-  const std::string type = "text/event-stream";
+  const std::string eventStreamType = "text/event-stream";
   const std::vector<FakeAnswer> answers{
     { .body = "data: b\n\ndata: [DONE]\n\n",
       .headers = { { "X-Resume-Offset", "1" } },
-      .contentType = type },
-    { .body = kWholeStream, .contentType = type },
+      .contentType = eventStreamType },
+    { .body = kCompleteStream, .contentType = eventStreamType },
   };
   for (const FakeAnswer& answer : answers) {
     const FakeServer server(answer);
@@ -139,7 +151,7 @@
     session->BeginAttempt(AttemptNumber{ 1 });
     session->PushEvent(AttemptNumber{ 1 }, 0, "data: a\n\n");
     CHECK(RunAttempt(*session, MakeAttempt(server.address(), 1)).delivered == 3);
-    CHECK(WaitPart(*session)->data == kWholeStream);
+    CHECK(WaitForPart(*session)->data == kCompleteStream);
   }
 }
 
@@ -158,7 +170,7 @@
   while (pushed < 4) {
     std::this_thread::yield();
   }
-  CHECK(WaitPart(*session)->data.size() >= 4 * event.size());
+  CHECK(WaitForPart(*session)->data.size() >= 4 * event.size());
   session->StopAttempt(AttemptNumber{ 1 });
   attempt.join();
   CHECK(session->delivered() <= 9);
@@ -188,7 +200,7 @@
     { "truncated", { .body = done, .fault = AnswerFault::kTruncated }, kUnknown },
     { "late", { .body = done, .fault = AnswerFault::kLate }, kUnknown },
   };
-  const OrderClientOptions options{ .timeout = kLimit, .issuer = {} };
+  const OrderClientOptions options{ .timeout = kTimeLimit, .issuer = {} };
   for (const Case& item : cases) {
     CAPTURE(item.name);
     const FakeServer server(item.answer);
--- a/tests/unit/contract_peer_test.cpp
+++ b/tests/unit/contract_peer_test.cpp
@@ -14,10 +14,10 @@
 
 /* Collects the versions of the received configurations. It pauses before each message, as a slow
  * peer does. */
-class Receiver
+class SlowReceiver
 {
 public:
-  explicit Receiver(std::chrono::milliseconds aPause)
+  explicit SlowReceiver(std::chrono::milliseconds aPause)
     : mTransport({},
                  [this, aPause](const Envelope& aEnvelope) {
                    std::this_thread::sleep_for(aPause);
@@ -27,9 +27,9 @@
     , mPort(mTransport.Start())
   {
   }
-  ~Receiver() { mTransport.Stop(); }
-  Receiver(const Receiver&) = delete;
-  Receiver& operator=(const Receiver&) = delete;
+  ~SlowReceiver() { mTransport.Stop(); }
+  SlowReceiver(const SlowReceiver&) = delete;
+  SlowReceiver& operator=(const SlowReceiver&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(mPort); }
 
@@ -62,20 +62,21 @@
   struct Case
   {
     const char* name;
-    std::size_t count;
-    std::size_t bytes;
+    std::size_t messageCount;
+    std::size_t documentBytes;
   };
   for (const Case& item : { Case{ "many small", 500, 100 }, Case{ "large", 1, 7U << 20U } }) {
     CAPTURE(item.name);
-    Receiver receiver(std::chrono::milliseconds{ 1 });
+    SlowReceiver receiver(std::chrono::milliseconds{ 1 });
     PeerTransport sender({ .answerLimit = 10s }, [](const Envelope&) {});
     REQUIRE(sender.Start() != 0);
-    for (std::size_t number = 1; number <= item.count; ++number) {
-      const ConfigurationRow row{ .version = { number }, .document = std::string(item.bytes, 'x') };
+    for (std::size_t number = 1; number <= item.messageCount; ++number) {
+      const ConfigurationRow row{ .version = { number },
+                                  .document = std::string(item.documentBytes, 'x') };
       sender.Send(receiver.address(),
                   { .from = {}, .senderVersion = {}, .message = ConfigurationMessage{ row } });
     }
-    CHECK(receiver.WaitFor(item.count));
+    CHECK(receiver.WaitFor(item.messageCount));
     CHECK(sender.counters().lostMessages == 0);
     sender.Stop();
   }
--- a/tests/unit/contract_platform_test.cpp
+++ b/tests/unit/contract_platform_test.cpp
@@ -12,27 +12,27 @@
 
 namespace {
 
-constexpr Duration kLimit = 200ms;
+constexpr Duration kTimeLimit = 200ms;
 constexpr const char* kAbsentRow = R"({"rows":[{"key":"k","version":0}]})";
 
 struct Case
 {
   std::string name;
   FakeAnswer answer;
-  bool isTaken;
+  bool isAccepted;
 };
 
 /* Returns the faulty answers that any interface of the platform can give, and a correct one. */
-std::vector<Case> CommonFaults(const std::string& aGood)
+std::vector<Case> CommonCases(const std::string& aCorrectBody)
 {
-  return { { "good", { .body = aGood }, true },
+  return { { "correct", { .body = aCorrectBody }, true },
            { "empty", { .body = "" }, false },
            { "not JSON", { .body = "{" }, false },
            { "wrong member types", { .body = R"({"rows":7,"hosts":7})" }, false },
-           { "error", { .status = 500, .body = aGood }, false },
-           { "unavailable", { .status = 503, .body = aGood }, false },
-           { "truncated", { .body = aGood, .fault = AnswerFault::kTruncated }, false },
-           { "late", { .body = aGood, .fault = AnswerFault::kLate }, false } };
+           { "error", { .status = 500, .body = aCorrectBody }, false },
+           { "unavailable", { .status = 503, .body = aCorrectBody }, false },
+           { "truncated", { .body = aCorrectBody, .fault = AnswerFault::kTruncated }, false },
+           { "late", { .body = aCorrectBody, .fault = AnswerFault::kLate }, false } };
 }
 
 TableTransaction MakeTransaction()
@@ -44,7 +44,7 @@
 
 TransactionOutcome Commit(const std::string& aAddress)
 {
-  const TableClient client({ .address = aAddress, .timeout = kLimit });
+  const TableClient client({ .address = aAddress, .timeout = kTimeLimit });
   return client.Commit(MakeTransaction()).outcome;
 }
 
@@ -52,7 +52,7 @@
 
 TEST_CASE("a transaction is committed or in conflict only with a complete answer for its rows")
 {
-  std::vector<Case> cases = CommonFaults(kAbsentRow);
+  std::vector<Case> cases = CommonCases(kAbsentRow);
   cases.push_back(
     { "unreadable row", { .body = R"({"rows":[{"key":"k","version":1,"value":"?"}]})" }, false });
   cases.push_back({ "another row", { .body = R"({"rows":[{"key":"x","version":1}]})" }, false });
@@ -60,8 +60,8 @@
     CAPTURE(item.name);
     const FakeServer server(item.answer);
     CHECK(Commit(server.address()) ==
-          (item.isTaken ? TransactionOutcome::kCommitted : TransactionOutcome::kUnknown));
-    CHECK(server.calls() == 1);
+          (item.isAccepted ? TransactionOutcome::kCommitted : TransactionOutcome::kUnknown));
+    CHECK(server.callCount() == 1);
   }
   const FakeServer conflict({ .status = 409, .body = kAbsentRow });
   CHECK(Commit(conflict.address()) == TransactionOutcome::kConflict);
@@ -70,27 +70,27 @@
 
 TEST_CASE("a read succeeds only when the answer holds all requested rows")
 {
-  std::vector<Case> cases = CommonFaults(kAbsentRow);
+  std::vector<Case> cases = CommonCases(kAbsentRow);
   cases.push_back({ "another row", { .body = R"({"rows":[{"key":"x","version":0}]})" }, false });
   cases.push_back({ "no row", { .body = R"({"rows":[]})" }, false });
   for (const Case& item : cases) {
     CAPTURE(item.name);
     const FakeServer server(item.answer);
-    const TableClient client({ .address = server.address(), .timeout = kLimit });
-    CHECK(client.Read({ ChangeId{ "r" }, { RowKey{ "k" } } }).ok == item.isTaken);
+    const TableClient client({ .address = server.address(), .timeout = kTimeLimit });
+    CHECK(client.Read({ ChangeId{ "r" }, { RowKey{ "k" } } }).ok == item.isAccepted);
   }
 }
 
 TEST_CASE("a host list is accepted only when it is complete and valid")
 {
   std::vector<Case> cases =
-    CommonFaults(R"({"hosts":[{"kind":"endpoint","id":"r","address":"127.0.0.1:1"}]})");
+    CommonCases(R"({"hosts":[{"kind":"endpoint","id":"r","address":"127.0.0.1:1"}]})");
   cases.push_back({ "no address", { .body = R"({"hosts":[{"kind":"daemon","id":"d"}]})" }, false });
   for (const Case& item : cases) {
     CAPTURE(item.name);
     const FakeServer server(item.answer);
-    CHECK(ReadHostList({ .address = server.address(), .timeout = kLimit }).has_value() ==
-          item.isTaken);
+    CHECK(ReadHostList({ .address = server.address(), .timeout = kTimeLimit }).has_value() ==
+          item.isAccepted);
   }
 }
 
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -15,26 +15,26 @@
 
 namespace {
 
-/* A pipe that is read only when the test calls Lines(). */
+/* A pipe that is read only when the test calls ReadLines(). */
 struct Pipe
 {
   Pipe()
   {
-    REQUIRE(pipe(ends.data()) == 0);
-    fcntl(ends[0], F_SETFL, O_NONBLOCK);
+    REQUIRE(pipe(descriptors.data()) == 0);
+    fcntl(descriptors[0], F_SETFL, O_NONBLOCK);
   }
 
   ~Pipe()
   {
-    close(ends[0]);
-    close(ends[1]);
+    close(descriptors[0]);
+    close(descriptors[1]);
   }
 
-  std::vector<nlohmann::json> Lines()
+  std::vector<nlohmann::json> ReadLines()
   {
     std::string text;
     std::array<char, 4'096> buffer{};
-    for (ssize_t size = 0; (size = read(ends[0], buffer.data(), buffer.size())) > 0;) {
+    for (ssize_t size = 0; (size = read(descriptors[0], buffer.data(), buffer.size())) > 0;) {
       text.append(buffer.data(), static_cast<std::size_t>(size));
     }
     std::vector<nlohmann::json> lines;
@@ -45,7 +45,7 @@
     return lines;
   }
 
-  std::array<int, 2> ends{};
+  std::array<int, 2> descriptors{};
 };
 
 } // namespace
@@ -54,7 +54,7 @@
   "a line is one JSON object, also with quotes, line breaks and invalid UTF-8 in its values")
 {
   Pipe pipe;
-  EventLog log({ .daemon = "d0", .descriptor = pipe.ends[1] });
+  EventLog log({ .daemon = "d0", .descriptor = pipe.descriptors[1] });
   log.Write("event",
             { { "text", "a \"quoted\" \\ line\nwith \xff bytes" },
               { "number", -3 },
@@ -62,7 +62,7 @@
               { "flag", true },
               { "id", EndpointId{ "e0" } } });
   log.Flush();
-  const auto lines = pipe.Lines();
+  const auto lines = pipe.ReadLines();
   REQUIRE(lines.size() == 1);
   CHECK(lines[0]["event"] == "event");
   CHECK(lines[0]["daemon"] == "d0");
@@ -75,13 +75,13 @@
 {
   Pipe pipe;
   EventLog log(
-    { .daemon = "d0", .descriptor = pipe.ends[1], .linesPerSecond = 1e-6, .burst = 10.0 });
+    { .daemon = "d0", .descriptor = pipe.descriptors[1], .linesPerSecond = 1e-6, .burst = 10.0 });
   for (int number = 0; number < 100; ++number) {
     log.Write("frequent", { { "number", number } });
   }
   log.Write("rare", {});
   log.Flush();
-  CHECK(pipe.Lines().size() == 11);
+  CHECK(pipe.ReadLines().size() == 11);
   CHECK(log.leftOut() == 90);
 }
 
@@ -89,7 +89,7 @@
 {
   Pipe pipe;
   EventLog log({ .daemon = "d0",
-                 .descriptor = pipe.ends[1],
+                 .descriptor = pipe.descriptors[1],
                  .linesPerSecond = 1e9,
                  .burst = 1e9,
                  .bufferBytes = 10'000 });
@@ -99,5 +99,5 @@
     log.Flush();
   }
   CHECK(log.leftOut() > 0);
-  CHECK_FALSE(pipe.Lines().empty());
+  CHECK_FALSE(pipe.ReadLines().empty());
 }
--- a/tests/unit/fake_server.h
+++ b/tests/unit/fake_server.h
@@ -35,7 +35,7 @@
     : mAnswer(std::move(aAnswer))
   {
     const auto handle = [this](const httplib::Request& aRequest, httplib::Response& aResponse) {
-      mCalls += aRequest.path != "/health" ? 1 : 0;
+      mCallCount += aRequest.path != "/health" ? 1 : 0;
       Answer(aResponse);
     };
     mServer.Get("/.*", handle);
@@ -57,7 +57,7 @@
   FakeServer& operator=(const FakeServer&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(mPort); }
-  int calls() const { return mCalls; }
+  int callCount() const { return mCallCount; }
 
 private:
   void Answer(httplib::Response& aResponse)
@@ -90,7 +90,7 @@
   FakeAnswer mAnswer;
   httplib::Server mServer;
   int mPort = 0;
-  std::atomic<int> mCalls{ 0 };
+  std::atomic<int> mCallCount{ 0 };
   std::atomic<bool> mIsStopping{ false };
   std::thread mThread;
 };
--- a/tests/unit/load_scenario_test.cpp
+++ b/tests/unit/load_scenario_test.cpp
@@ -11,12 +11,12 @@
 
 TEST_CASE("a scenario needs a name and groups with models and a burst, or a rate with an end")
 {
-  struct Row
+  struct Case
   {
     const char* text;
     bool isValid;
   };
-  const std::vector<Row> rows{
+  const std::vector<Case> cases{
     { "{name: n, groups: [{name: g, key: k, models: [m], burst: 2}]}", true },
     { "{name: n, groups: [{name: g, key: k, models: [m], rate: 2, end: 5}]}", true },
     { "{name: n, groups: [{name: g, key: k, models: [m], rate: 2}]}", false },
@@ -25,9 +25,9 @@
     { "{groups: []}", false },
     { "]", false },
   };
-  for (const Row& row : rows) {
-    CAPTURE(row.text);
-    CHECK(ParseScenario(row.text).has_value() == row.isValid);
+  for (const Case& item : cases) {
+    CAPTURE(item.text);
+    CHECK(ParseScenario(item.text).has_value() == item.isValid);
   }
 }
 
@@ -38,16 +38,16 @@
                                 "{name: r, key: k, models: [m, o], rate: 20, end: 10}]}");
   REQUIRE(scenario);
   const auto plan = PlanRequests(*scenario, 4);
-  const auto again = PlanRequests(*scenario, 4);
-  REQUIRE(plan.size() == again.size());
+  const auto repeatedPlan = PlanRequests(*scenario, 4);
+  REQUIRE(plan.size() == repeatedPlan.size());
   for (std::size_t i = 0; i < plan.size(); ++i) {
-    CHECK(plan[i].plannedStart == again[i].plannedStart);
-    CHECK(plan[i].model == again[i].model);
+    CHECK(plan[i].plannedStart == repeatedPlan[i].plannedStart);
+    CHECK(plan[i].model == repeatedPlan[i].model);
     CHECK((i == 0 || plan[i - 1].plannedStart <= plan[i].plannedStart));
   }
-  const auto burst = std::count_if(
+  const auto burstRequests = std::count_if(
     plan.begin(), plan.end(), [](const PlannedRequest& aRequest) { return aRequest.group == 0; });
-  CHECK(burst == 12);
+  CHECK(burstRequests == 12);
   scenario->seed = 6;
   CHECK(PlanRequests(*scenario, 4).back().plannedStart != plan.back().plannedStart);
 }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-const std::string kRequired = "daemon_id: a\ntable: 127.0.0.1:1\nhost_list: 127.0.0.1:1\n";
+const std::string kRequiredSettings = "daemon_id: a\ntable: 127.0.0.1:1\nhost_list: 127.0.0.1:1\n";
 
-struct BadSettings
+struct InvalidSettings
 {
   std::string text; ///< Follows the required settings, from line 4.
   int line = 0;
   std::string reason;
 };
 
-tl::expected<Settings, std::vector<SettingError>> Load(const std::string& aText)
+tl::expected<Settings, std::vector<SettingError>> LoadText(const std::string& aText)
 {
   const std::string file = "settings-" + RandomHex() + ".yaml";
   std::ofstream(file) << aText;
@@ -31,7 +31,7 @@
   return result;
 }
 
-const std::vector<BadSettings> kBadSettings{
+const std::vector<InvalidSettings> kInvalidSettings{
   { "daemonid: x", 4, "unknown setting 'daemonid'" },
   { "[a]: x", 4, "unknown setting" },
   { "zone: a\nzone: b", 5, "'zone' is set twice" },
@@ -59,26 +59,27 @@
 
 TEST_CASE("Each invalid settings file gets its error, with line and reason")
 {
-  REQUIRE(Load(kRequired).has_value());
-  for (const BadSettings& bad : kBadSettings) {
-    const auto result = Load(kRequired + bad.text + "\n");
-    INFO(bad.text);
+  REQUIRE(LoadText(kRequiredSettings).has_value());
+  for (const InvalidSettings& invalid : kInvalidSettings) {
+    const auto result = LoadText(kRequiredSettings + invalid.text + "\n");
+    INFO(invalid.text);
     REQUIRE_FALSE(result.has_value());
     const auto& errors = result.error();
     INFO(errors[0].line << ": " << errors[0].reason);
     CHECK(std::any_of(errors.begin(), errors.end(), [&](const SettingError& aError) {
-      return aError.line >= bad.line && aError.line <= bad.line + (bad.reason.empty() ? 2 : 0) &&
-             aError.reason.find(bad.reason) != std::string::npos;
+      return aError.line >= invalid.line &&
+             aError.line <= invalid.line + (invalid.reason.empty() ? 2 : 0) &&
+             aError.reason.find(invalid.reason) != std::string::npos;
     }));
   }
 }
 
 TEST_CASE("All errors of a settings file are reported together")
 {
-  const auto result = Load("zone: a\nunknown: 1\ncaller_port: x\nlease_renewal: 5000\n");
+  const auto result = LoadText("zone: a\nunknown: 1\ncaller_port: x\nlease_renewal: 5000\n");
   REQUIRE_FALSE(result.has_value());
   CHECK(result.error().size() == 6);
-  CHECK_FALSE(Load("- a list").has_value());
+  CHECK_FALSE(LoadText("- a list").has_value());
   CHECK_FALSE(LoadSettings("no-such-file.yaml").has_value());
 }
 
