--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -65,8 +65,8 @@
     Schedule(kStepTime + RandomDuration(-100ms, mScenario.faultStartWindow),
              [this, fault] { InjectFault(fault); });
   }
-  // All faults have ended by now, so every model must be served again. A freeze that still waits
-  // for an order is cancelled.
+  // With the default faultStartWindow, all faults except freezes have ended by 26 s, so each daemon
+  // must serve requests again. A freeze that still waits for an order is cancelled.
   Schedule(26s - 1ms, [this] { mFreezeOnNextOrder.reset(); });
   for (std::size_t host = 0; host < mHosts.size(); ++host) {
     Schedule(26s, [this, host] {
--- a/tests/matrix/world.h
+++ b/tests/matrix/world.h
@@ -24,12 +24,12 @@
 /* Operation of the daemons during which the faults are injected. */
 enum class Step : std::uint8_t
 {
-  kLoad,
-  kRequest,
-  kClaim,
-  kConfiguration,
-  kTakeover,
-  kShutdown,
+  kLoad,          ///< Nine requests for random models, so that models are loaded.
+  kRequest,       ///< Nine requests for one model.
+  kClaim,         ///< Requests with eight idempotency keys, each key sent twice.
+  kConfiguration, ///< Concurrent changes of the configuration, twice.
+  kTakeover,      ///< The holder of the cell lease is killed or frozen.
+  kShutdown,      ///< A daemon is asked to shut down, shortly after it got a request.
   kCount,
 };
 
@@ -38,8 +38,7 @@
   kNone,
   kDaemonCrash,         ///< A daemon process is killed and started again later.
   kDaemonFreeze,        ///< A daemon process is paused, at once or when it sends its next order.
-  kDaemonPartition,     ///< A daemon cannot reach its peers, the table, the runners, or several of
-                        ///< these.
+  kDaemonPartition,     ///< A daemon cannot reach peers, table or endpoints, or several of these.
   kLossyNetwork,        ///< Half of the runs return no bytes, and 30 % of the messages are lost.
   kTableDown,           ///< The table service does not answer.
   kTableSlow,           ///< The table service answers late, in part after the time limit.
@@ -62,7 +61,7 @@
   std::uint64_t seed = 1;
   Step step = Step::kLoad;
   std::vector<Fault> faults;
-  OrderCheck check = OrderCheck::kChecked;
+  OrderCheck check = OrderCheck::kChecked; ///< Whether the runners check fencing tokens.
   MechanismSet disabled;
   Duration faultStartWindow =
     1500ms; ///< Faults begin from 100 ms before the step to this time after it.
@@ -100,8 +99,8 @@
   bool isCutFromRunners = false;
   SimulatedTime resumedAt{}; ///< End of the last freeze.
   SimulatedTime startedAt{};
-  std::vector<std::function<void()>>
-    deferredTasks;                  ///< Tasks deferred until the process is resumed.
+  /* What the frozen process will do when it is resumed. */
+  std::vector<std::function<void()>> deferredTasks;
   std::uint64_t lastWakeNumber = 0; ///< Only the newest wake-up request is delivered.
   ConfigVersion configurationVersion;
   Readiness readiness = Readiness::kStarting;
@@ -125,14 +124,14 @@
   bool isUnreachable = false;
   bool isListed = true;
   std::optional<SimulatedTime> leavingSince;
-  std::optional<SimulatedTime>
-    knownLeavingAt;   ///< Earliest time at which a daemon can know that it is leaving.
+  /* Earliest time at which a daemon can know that the endpoint is leaving. */
+  std::optional<SimulatedTime> knownLeavingAt;
   Fence highestFence; ///< Highest fencing token of the orders that it got.
   std::map<ModelId, FakeModel> models;
-  std::map<OrderId, OrderOutcome>
-    orderOutcomes; ///< Outcomes, given again when an order is repeated.
-  std::map<RequestId, std::pair<std::size_t, ModelId>>
-    running; ///< Index of the sending host, and model, by request.
+  /* Outcomes of the orders to load or unload a model. A repeated order gets the same outcome. */
+  std::map<OrderId, OrderOutcome> orderOutcomes;
+  /* Index of the sending host, and model, of the requests that run on it. */
+  std::map<RequestId, std::pair<std::size_t, ModelId>> running;
 };
 
 /* A request from the caller's point of view. */
@@ -147,7 +146,7 @@
   std::uint32_t answerCount = 0;  ///< A refused connection counts as an answer.
   std::uint32_t runCount = 0;     ///< Runs that an endpoint began.
   bool wasReportedNotRun = false; ///< The caller was told that the request did not run.
-  bool mustSucceed = false;       ///< Sent after all faults have ended, so it must be answered.
+  bool mustSucceed = false;       ///< Sent to check the recovery from the faults.
   std::uint32_t resendCount = 0;
 };
 
@@ -171,6 +170,27 @@
 
   // world.cpp: simulated time, processes and actions
   void Schedule(Duration aDelay, std::function<void()> aTask);
+  /* Records a violation of one of these invariants:
+   * - "one answer": a request is answered at most once.
+   * - "not run": a request that an endpoint began is not reported as not run, and no
+   *   endpoint begins a request after such a report.
+   * - "at most once": a request with an idempotency key runs at most once.
+   * - "in time": a daemon that is neither dead nor frozen answers each request by its
+   *   deadline, with a margin of 10 % and 100 ms.
+   * - "leaving": an endpoint gets no request more than 3 s after its leaving could be known, except
+   *   from a daemon that is cut from its peers.
+   * - "configuration": a daemon admits no request more than 5 s after a newer configuration was
+   *   accepted and never replaces a configuration by an older one. Only one of two
+   *   concurrent changes is committed.
+   * - "shutdown": a stopping daemon ends within 25 s, and not before it has answered its requests.
+   * - "recovery": 26 s after the start, a request to each daemon succeeds. Daemons
+   *   that are stopping, or were started or resumed less than 4 s ago, are left out.
+   * - "replicas": a model is loaded on at most one runner.
+   * - "memory": the loaded models fit in the weight memory of their runner.
+   * - "written order": a runner that does not check fencing tokens gets orders to load or unload a
+   *   model only while the placement row has an entry for the model on this runner.
+   * - "cut stream": a model is not unloaded while a request of a live daemon runs on it.
+   * - "busy loop": a run has no more than kMaxEvents events. */
   void RecordViolation(const std::string& aInvariant, const std::string& aDetail);
   Duration RandomDuration(Duration aMinimum, Duration aMaximum);
   bool RandomBool(double aProbability)
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -23,7 +23,7 @@
   AnswerForm form;
   FakeAnswer answer;
   AttemptOutcome outcome;
-  std::uint32_t delivered = 0;
+  std::uint32_t delivered = 0; ///< Stream events that the session has delivered.
 };
 
 std::shared_ptr<Session> MakeSession(AnswerForm aForm)
