--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -1,4 +1,5 @@
-/* The fault matrix: every fault at every step, then pairs of faults from printed seeds. */
+/* The fault matrix: every single fault at every step, then two or three faults chosen by seeds. The
+ * seeds are printed. */
 #include "tests/matrix/world.h"
 
 #include <doctest/doctest.h>
@@ -14,26 +15,26 @@
 
 namespace {
 
-/* Plays scenarios and keeps count. */
+/* Runs scenarios and adds up their results. */
 struct Tally
 {
-  std::uint64_t cells = 0;
-  std::uint64_t events = 0;
-  std::uint64_t answered = 0;
-  std::uint64_t refused = 0;
-  std::map<std::string, std::uint32_t> violations; ///< By promise.
+  std::uint64_t scenarioCount = 0;
+  std::uint64_t eventCount = 0;
+  std::uint64_t answeredCount = 0;
+  std::uint64_t refusedCount = 0;
+  std::map<std::string, std::uint32_t> violations; ///< Number by invariant.
 
   void Add(const Scenario& aScenario)
   {
-    const Verdict verdict = Play(aScenario);
-    ++cells;
-    events += verdict.events;
-    answered += verdict.answered;
-    refused += verdict.refused;
-    for (const std::string& violation : verdict.violations) {
-      const std::string promise = violation.substr(0, violation.find(':'));
-      if (++violations[promise] <= 3) {
-        MESSAGE(Describe(aScenario), ": ", violation);
+    const ScenarioResult result = RunScenario(aScenario);
+    ++scenarioCount;
+    eventCount += result.eventCount;
+    answeredCount += result.answeredCount;
+    refusedCount += result.refusedCount;
+    for (const std::string& violation : result.violations) {
+      const std::string invariant = violation.substr(0, violation.find(':'));
+      if (++violations[invariant] <= 3) {
+        MESSAGE(DescribeScenario(aScenario), ": ", violation);
       }
     }
   }
@@ -41,47 +42,49 @@
   void Print(const char* aName) const
   {
     std::string text;
-    for (const auto& [promise, count] : violations) {
-      text += " " + promise + "=" + std::to_string(count);
+    for (const auto& [invariant, count] : violations) {
+      text += " " + invariant + "=" + std::to_string(count);
     }
     MESSAGE(std::string{ aName },
             ": ",
-            cells,
-            " cells, ",
-            events,
+            scenarioCount,
+            " scenarios, ",
+            eventCount,
             " events, ",
-            answered,
+            answeredCount,
             " answered, ",
-            refused,
+            refusedCount,
             " refused, violations:",
             text.empty() ? " none" : text);
   }
 };
 
-std::uint64_t Setting(const char* aName, std::uint64_t aElse)
+std::uint64_t EnvironmentNumber(const char* aName, std::uint64_t aDefault)
 {
   const char* text = std::getenv(aName); // NOLINT(concurrency-mt-unsafe)
-  return text == nullptr ? aElse : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? aDefault : std::strtoull(text, nullptr, 10);
 }
 
-/* Every step with every fault, for both kinds of runners. */
-std::vector<Scenario> AllCells(std::uint64_t aSeed)
+/* Returns every step with every fault, for runners that check fencing tokens and for those that do
+ * not. */
+std::vector<Scenario> SingleFaultScenarios(std::uint64_t aSeed)
 {
-  std::vector<Scenario> cells;
+  std::vector<Scenario> scenarios;
   for (std::size_t step = 0; step < static_cast<std::size_t>(Step::kCount); ++step) {
     for (std::size_t fault = 0; fault < static_cast<std::size_t>(Fault::kCount); ++fault) {
       for (const OrderCheck check : { OrderCheck::kChecked, OrderCheck::kUnchecked }) {
-        cells.push_back({ .seed = aSeed + step * 101 + fault,
-                          .step = static_cast<Step>(step),
-                          .faults = { static_cast<Fault>(fault) },
-                          .check = check });
+        scenarios.push_back({ .seed = aSeed + step * 101 + fault,
+                              .step = static_cast<Step>(step),
+                              .faults = { static_cast<Fault>(fault) },
+                              .check = check });
       }
     }
   }
-  return cells;
+  return scenarios;
 }
 
-/* A step with two or three faults, all chosen by the seed. */
+/* Returns a step with two or three faults chosen by the seed. Every eighth seed adds a runner that
+ * cannot be reached. */
 Scenario RandomScenario(std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
@@ -89,11 +92,11 @@
   scenario.step = static_cast<Step>(random() % static_cast<std::uint64_t>(Step::kCount));
   const std::uint64_t count = 2 + random() % 2;
   for (std::uint64_t index = 0; index < count; ++index) {
-    const std::uint64_t faults = static_cast<std::uint64_t>(Fault::kEndpointCut) - 1;
+    const std::uint64_t faults = static_cast<std::uint64_t>(Fault::kRunnerPartition) - 1;
     scenario.faults.push_back(static_cast<Fault>(1 + random() % faults));
   }
   if (aSeed % 8 == 7) {
-    scenario.faults.push_back(Fault::kEndpointCut);
+    scenario.faults.push_back(Fault::kRunnerPartition);
   }
   scenario.check = random() % 2 == 0 ? OrderCheck::kChecked : OrderCheck::kUnchecked;
   return scenario;
@@ -104,9 +107,9 @@
 TEST_CASE("matrix: every fault at every step")
 {
   Tally tally;
-  const std::uint64_t seed = Setting("MATRIX_SEED", 1);
-  for (std::uint64_t round = 0; round < Setting("MATRIX_ROUNDS", 2); ++round) {
-    for (const Scenario& scenario : AllCells(seed * 1'000'003 + round * 1'009)) {
+  const std::uint64_t seed = EnvironmentNumber("MATRIX_SEED", 1);
+  for (std::uint64_t round = 0; round < EnvironmentNumber("MATRIX_ROUNDS", 2); ++round) {
+    for (const Scenario& scenario : SingleFaultScenarios(seed * 1'000'003 + round * 1'009)) {
       tally.Add(scenario);
     }
   }
@@ -117,24 +120,31 @@
 TEST_CASE("matrix: pairs and repeats of faults")
 {
   Tally tally;
-  const std::uint64_t first = Setting("MATRIX_SEED", 1) * 7'919;
+  const std::uint64_t first = EnvironmentNumber("MATRIX_SEED", 1) * 7'919;
   MESSAGE("seeds from ", first);
-  for (std::uint64_t seed = first; seed < first + Setting("MATRIX_PAIRS", 500); ++seed) {
+  for (std::uint64_t seed = first; seed < first + EnvironmentNumber("MATRIX_PAIRS", 500); ++seed) {
     tally.Add(RandomScenario(seed));
   }
   tally.Print("pairs of faults");
   CHECK(tally.violations.empty());
 }
 
-/* Seeds of pairs and triples that broke a promise once; each failed before its mend. */
+/* Seeds that once violated an invariant. Each failed until its cause was fixed. */
 TEST_CASE("matrix: seeds that failed before")
 {
   Tally tally;
-  // Cut stream by a failed inventory; replica lost after a takeover; claim released after a
-  // conviction; "not run" after a run; placement not written again after a lost answer;
-  // an inventory older than the order; a leaving notice that was lost; a list that lags behind one
-  // that said "leaving"; a host that the world froze after the faults had ended; a silence that was
-  // counted while nobody asked.
+  // These failures were found:
+  // - A stream was cut after an inventory had failed.
+  // - A replica was lost after a takeover.
+  // - A claim was released after its request had been quarantined.
+  // - A request that had run was reported as not run.
+  // - A placement was not written again after the answer to its first write had been lost.
+  // - An inventory older than an order was used.
+  // - The notice that an endpoint was leaving was lost.
+  // - A host list was older than the one that had listed an endpoint as leaving.
+  // - The simulation froze a host after the faults had ended.
+  // - A router counted the time without an answer from the holder also while it sent no placement
+  //   requests.
   for (const std::uint64_t seed : { 9101,
                                     8437,
                                     8538,
@@ -154,12 +164,13 @@
   CHECK(tally.violations.empty());
 }
 
-/* The long random run: make soak SEED=... MINUTES=... */
+/* Random scenarios for a given time: make soak SEED=... MINUTES=... */
 TEST_CASE("matrix: soak" * doctest::skip())
 {
   Tally tally;
-  std::uint64_t seed = Setting("SEED", 1) * 1'000'000;
-  const auto end = std::chrono::steady_clock::now() + std::chrono::minutes(Setting("MINUTES", 1));
+  std::uint64_t seed = EnvironmentNumber("SEED", 1) * 1'000'000;
+  const auto end =
+    std::chrono::steady_clock::now() + std::chrono::minutes(EnvironmentNumber("MINUTES", 1));
   MESSAGE("seeds from ", seed);
   while (std::chrono::steady_clock::now() < end) {
     tally.Add(RandomScenario(seed++));
@@ -168,13 +179,13 @@
   CHECK(tally.violations.empty());
 }
 
-/* A mechanism, and the promise that must be seen broken when it is off. */
+/* A mechanism, and the invariant that must be violated when the mechanism is disabled. */
 struct Mutation
 {
   Mechanism mechanism;
   const char* name;
-  const char* promise;
-  std::vector<Fault> faults = {}; ///< Empty: pairs and triples by seed.
+  const char* invariant;
+  std::vector<Fault> faults = {}; ///< Empty: chosen by the seed, as in RandomScenario().
   OrderCheck check = OrderCheck::kChecked;
   std::uint64_t firstSeed = 1;
 };
@@ -183,17 +194,17 @@
   { Mechanism::kInventoryBeforeUse,
     "fenced recovery",
     "replicas",
-    { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut },
+    { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition },
     OrderCheck::kChecked,
     1'589 },
   { Mechanism::kPossibleReplicas,
     "possible replicas",
     "replicas",
-    { Fault::kTableDown, Fault::kTableDown, Fault::kDeath, Fault::kEndpointCut } },
+    { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition } },
   { Mechanism::kFormerOrderReservation,
     "reserved intent",
     "written order",
-    { Fault::kFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
+    { Fault::kDaemonFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
     OrderCheck::kUnchecked,
     1'225 },
   { Mechanism::kPlacementBeforeOrder, "written intent", "written order" },
@@ -214,41 +225,41 @@
   { Mechanism::kShutdownDrain, "shutdown drain", "shutdown" },
 };
 
-/* Searches for a scenario in which the mechanism is missed. */
-void CheckNoticed(const Mutation& mutation)
+/* Searches for a scenario that violates the invariant when the mechanism is disabled. The same
+ * scenario must violate nothing when the mechanism is enabled. */
+void CheckMutationDetected(const Mutation& aMutation)
 {
-  constexpr std::uint64_t kTries = 1'500;
+  constexpr std::uint64_t kMaxScenarios = 1'500;
   std::string found;
-  std::uint64_t seed = mutation.firstSeed;
-  for (; found.empty() && seed < mutation.firstSeed + kTries; ++seed) {
+  std::uint64_t seed = aMutation.firstSeed;
+  for (; found.empty() && seed < aMutation.firstSeed + kMaxScenarios; ++seed) {
     Scenario scenario = RandomScenario(seed);
-    if (!mutation.faults.empty()) {
-      scenario = { .seed = seed, .faults = mutation.faults, .check = mutation.check };
-      scenario.spread = 9s;
+    if (!aMutation.faults.empty()) {
+      scenario = { .seed = seed, .faults = aMutation.faults, .check = aMutation.check };
+      scenario.faultStartWindow = 9s;
     }
-    scenario.disabled.set(static_cast<std::size_t>(mutation.mechanism));
-    for (const std::string& violation : Play(scenario).violations) {
-      if (violation.starts_with(mutation.promise)) {
-        found = Describe(scenario) + ": " + violation;
-        // The same scenario holds the promise with the mechanism on.
+    scenario.disabled.set(static_cast<std::size_t>(aMutation.mechanism));
+    for (const std::string& violation : RunScenario(scenario).violations) {
+      if (violation.starts_with(aMutation.invariant)) {
+        found = DescribeScenario(scenario) + ": " + violation;
         scenario.disabled.reset();
-        CHECK(Play(scenario).violations.empty());
+        CHECK(RunScenario(scenario).violations.empty());
         break;
       }
     }
   }
-  MESSAGE(std::string{ mutation.name },
-          " off, tries ",
-          seed - mutation.firstSeed,
+  MESSAGE(std::string{ aMutation.name },
+          " disabled, scenarios tried: ",
+          seed - aMutation.firstSeed,
           ": ",
-          found.empty() ? "NOT NOTICED" : found);
+          found.empty() ? "NO VIOLATION FOUND" : found);
   CHECK_FALSE(found.empty());
 }
 
-TEST_CASE("matrix: a mechanism that is switched off is noticed")
+TEST_CASE("matrix: disabling a mechanism violates its invariant")
 {
   for (const Mutation& mutation : kMutations) {
-    CheckNoticed(mutation);
+    CheckMutationDetected(mutation);
   }
 }
 
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -1,4 +1,4 @@
-/* Structured logs: whole JSON lines, bounded in volume, and no wait for the reader. */
+/* The event log writes complete JSON lines, limits their number, and never waits for its reader. */
 #include "core/event_log.h"
 
 #include <doctest/doctest.h>
@@ -15,26 +15,26 @@
 
 namespace {
 
-/* A pipe whose reading end may stand still. */
+/* A pipe that is read only when the test calls ReadLines(). */
 struct Pipe
 {
   Pipe()
   {
-    REQUIRE(pipe(ends.data()) == 0);
-    fcntl(ends[0], F_SETFL, O_NONBLOCK);
+    REQUIRE(pipe(descriptors.data()) == 0);
+    fcntl(descriptors[0], F_SETFL, O_NONBLOCK);
   }
 
   ~Pipe()
   {
-    close(ends[0]);
-    close(ends[1]);
+    close(descriptors[0]);
+    close(descriptors[1]);
   }
 
-  std::vector<nlohmann::json> Lines()
+  std::vector<nlohmann::json> ReadLines()
   {
     std::string text;
     std::array<char, 4'096> buffer{};
-    for (ssize_t size = 0; (size = read(ends[0], buffer.data(), buffer.size())) > 0;) {
+    for (ssize_t size = 0; (size = read(descriptors[0], buffer.data(), buffer.size())) > 0;) {
       text.append(buffer.data(), static_cast<std::size_t>(size));
     }
     std::vector<nlohmann::json> lines;
@@ -45,15 +45,16 @@
     return lines;
   }
 
-  std::array<int, 2> ends{};
+  std::array<int, 2> descriptors{};
 };
 
 } // namespace
 
-TEST_CASE("a line is one JSON object, whatever its values hold")
+TEST_CASE(
+  "a line is one JSON object, also with quotes, line breaks and invalid UTF-8 in its values")
 {
   Pipe pipe;
-  EventLog log({ .daemon = "d0", .descriptor = pipe.ends[1] });
+  EventLog log({ .daemon = "d0", .descriptor = pipe.descriptors[1] });
   log.Write("event",
             { { "text", "a \"quoted\" \\ line\nwith \xff bytes" },
               { "number", -3 },
@@ -61,7 +62,7 @@
               { "flag", true },
               { "id", EndpointId{ "e0" } } });
   log.Flush();
-  const auto lines = pipe.Lines();
+  const auto lines = pipe.ReadLines();
   REQUIRE(lines.size() == 1);
   CHECK(lines[0]["event"] == "event");
   CHECK(lines[0]["daemon"] == "d0");
@@ -70,25 +71,25 @@
   CHECK(lines[0]["id"] == "e0");
 }
 
-TEST_CASE("each kind of event has a budget, and what was left out is counted")
+TEST_CASE("the number of lines is limited for each event, and omitted lines are counted")
 {
   Pipe pipe;
   EventLog log(
-    { .daemon = "d0", .descriptor = pipe.ends[1], .linesPerSecond = 1e-6, .burst = 10.0 });
+    { .daemon = "d0", .descriptor = pipe.descriptors[1], .linesPerSecond = 1e-6, .burst = 10.0 });
   for (int number = 0; number < 100; ++number) {
     log.Write("frequent", { { "number", number } });
   }
   log.Write("rare", {});
   log.Flush();
-  CHECK(pipe.Lines().size() == 11);
+  CHECK(pipe.ReadLines().size() == 11);
   CHECK(log.leftOut() == 90);
 }
 
-TEST_CASE("a reader that stands still costs lines, not time")
+TEST_CASE("lines are omitted when the reader does not read, and writing does not block")
 {
   Pipe pipe;
   EventLog log({ .daemon = "d0",
-                 .descriptor = pipe.ends[1],
+                 .descriptor = pipe.descriptors[1],
                  .linesPerSecond = 1e9,
                  .burst = 1e9,
                  .bufferBytes = 10'000 });
@@ -98,5 +99,5 @@
     log.Flush();
   }
   CHECK(log.leftOut() > 0);
-  CHECK_FALSE(pipe.Lines().empty());
+  CHECK_FALSE(pipe.ReadLines().empty());
 }
--- a/tests/unit/fake_server.h
+++ b/tests/unit/fake_server.h
@@ -1,4 +1,4 @@
-/* A small server that answers as a test tells it, rightly or wrongly. */
+/* An HTTP server that gives every request the same answer, with a fault if a test wants one. */
 #ifndef RHUBARBTRAIL_TESTS_FAKE_SERVER_H
 #define RHUBARBTRAIL_TESTS_FAKE_SERVER_H
 
@@ -10,13 +10,13 @@
 
 namespace rhubarbtrail {
 
-/* What goes wrong with an answer on its way. */
+/* A fault in how an answer is sent. */
 enum class AnswerFault : std::uint8_t
 {
   kNone,
   kTruncated, ///< The connection ends before the announced length.
-  kLate,      ///< Nothing comes within the time limit of the tests.
-  kNoLength,  ///< The answer ends with the connection and says no length.
+  kLate,      ///< Sent after 1 s, which is later than the time limits of the tests.
+  kNoLength,  ///< The answer has no length and ends with its connection.
 };
 
 struct FakeAnswer
@@ -35,7 +35,7 @@
     : mAnswer(std::move(aAnswer))
   {
     const auto handle = [this](const httplib::Request& aRequest, httplib::Response& aResponse) {
-      mCalls += aRequest.path != "/health" ? 1 : 0;
+      mCallCount += aRequest.path != "/health" ? 1 : 0;
       Answer(aResponse);
     };
     mServer.Get("/.*", handle);
@@ -57,7 +57,7 @@
   FakeServer& operator=(const FakeServer&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(mPort); }
-  int calls() const { return mCalls; }
+  int callCount() const { return mCallCount; }
 
 private:
   void Answer(httplib::Response& aResponse)
@@ -90,7 +90,7 @@
   FakeAnswer mAnswer;
   httplib::Server mServer;
   int mPort = 0;
-  std::atomic<int> mCalls{ 0 };
+  std::atomic<int> mCallCount{ 0 };
   std::atomic<bool> mIsStopping{ false };
   std::thread mThread;
 };
