--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -39,7 +39,7 @@
   Node node({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "z0" },
               .settings = {},
-              .disabled = {} });
+              .disabledMechanisms = {} });
   auto configuration = std::make_shared<Configuration>();
   configuration->version = { 1 };
   for (std::uint32_t i = 0; i < aCells; ++i) {
@@ -87,7 +87,7 @@
     , mNode({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "z0" },
               .settings = {},
-              .disabled = {} })
+              .disabledMechanisms = {} })
   {
     Apply(ConfigurationLoaded{ ConfigurationRow{ .version = { 1 }, .document = {}, .author = {} },
                                MakeConfiguration() });
@@ -306,7 +306,7 @@
   {
     for (const Action& action : aActions) {
       if (const auto* read = std::get_if<TableRead>(&action)) {
-        ReadResult result{ .read = read->read, .ok = true, .rows = {} };
+        ReadResult result{ .read = read->read, .hasSucceeded = true, .rows = {} };
         for (const RowKey& key : read->keys) {
           // The lease of another cell has a holder.
           Row row{ .key = key, .version = {}, .value = {} };
--- a/bench/cell_world.cpp
+++ b/bench/cell_world.cpp
@@ -27,7 +27,7 @@
   , mNode({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
             .zone = ZoneId{ "a" },
             .settings = {},
-            .disabled = {} })
+            .disabledMechanisms = {} })
   , mMeasureFrom(TimePoint{} + aWarmUp)
 {
   for (std::uint32_t i = 0; i < kRunners; ++i) {
@@ -195,7 +195,7 @@
 
 void CellWorld::Handle(const TableRead& aAction)
 {
-  ReadResult result{ .read = aAction.read, .ok = true, .rows = {} };
+  ReadResult result{ .read = aAction.read, .hasSucceeded = true, .rows = {} };
   for (const RowKey& key : aAction.keys) {
     const auto found = mTable.find(key);
     result.rows.push_back(found == mTable.end() ? Row{ .key = key, .version = {}, .value = {} }
--- a/src/caller/request_check.cpp
+++ b/src/caller/request_check.cpp
@@ -93,7 +93,7 @@
     FingerprintId{ Sha256Hex(aRequest.method + " " + aPath + "\n" + aRequest.body) };
   aChecked.arrivedEvent.prefixHash =
     std::hash<std::string_view>{}(std::string_view{ aRequest.body }.substr(0, kPromptPrefixLength));
-  aChecked.arrivedEvent.bytes = aRequest.body.size();
+  aChecked.arrivedEvent.bodySize = aRequest.body.size();
 }
 
 /* Splits "model" or "model:adapter" and looks up its parts in the configuration. A model that the
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -100,9 +100,10 @@
 
 NodeOptions MakeNodeOptions(const Settings& aSettings, const Incarnation& aSelf)
 {
-  return {
-    .self = aSelf, .zone = ZoneId{ aSettings.zone }, .settings = aSettings.decision, .disabled = {}
-  };
+  return { .self = aSelf,
+           .zone = ZoneId{ aSettings.zone },
+           .settings = aSettings.decision,
+           .disabledMechanisms = {} };
 }
 
 Daemon::Daemon(Settings aSettings, std::vector<OperatorKey> aKeys)
@@ -289,7 +290,7 @@
       mLoop.Post(AttemptEnded{ .request = start.request,
                                .attempt = start.attempt,
                                .outcome = AttemptOutcome::kNotConnected,
-                               .delivered = session->delivered() });
+                               .deliveredEvents = session->delivered() });
       return;
     }
     mLoop.Post(RunAttempt(*session, start));
--- a/src/decision/action_type.h
+++ b/src/decision/action_type.h
@@ -16,7 +16,7 @@
   kAllowed,
   /* A new connection is opened. If that fails, no byte of the request was sent. On an open
    * connection that breaks, this would be unknown. */
-  kFresh,
+  kNewConnection,
 };
 
 /* Sends a request to an endpoint. */
@@ -29,7 +29,7 @@
   std::uint32_t resumeOffset = 0; ///< Stream events that the caller already has.
   std::uint32_t priority = 1;     ///< Priority of the request class; 0 is the highest.
   ConnectionReuse reuse = ConnectionReuse::kAllowed;
-  /* Time without bytes after which the attempt ends with kSilent. For an answer that is not
+  /* Time without bytes after which the attempt ends with kTimedOut. For an answer that is not
    * streamed, the limit is timeLeft if that is longer. */
   Duration progressLimit{};
   /* Time to the deadline of the request. An at-most-once request gets some more, so that a late
--- a/src/decision/context_type.h
+++ b/src/decision/context_type.h
@@ -30,7 +30,7 @@
 
   bool IsEnabled(Mechanism aMechanism) const
   {
-    return !mOptions.disabled.test(static_cast<std::size_t>(aMechanism));
+    return !mOptions.disabledMechanisms.test(static_cast<std::size_t>(aMechanism));
   }
 
   void Emit(Action aAction) { mActions.push_back(std::move(aAction)); }
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -33,7 +33,7 @@
   Incarnation self;
   ZoneId zone;
   DecisionSettings settings;
-  MechanismSet disabled; ///< Mechanisms that a test disables. Empty in a daemon.
+  MechanismSet disabledMechanisms; ///< Mechanisms that a test disables. Empty in a daemon.
 };
 
 /* One value of a state dump. */
--- a/src/decision/event_type.h
+++ b/src/decision/event_type.h
@@ -27,7 +27,7 @@
   FingerprintId fingerprint; ///< Hash of the method, path and body. Equal requests share it.
   /* Hash of the start of the body. Requests with an equal one prefer the same endpoints. */
   std::uint64_t prefixHash = 0;
-  std::uint64_t bytes = 0; ///< Size of the body.
+  std::uint64_t bodySize = 0; ///< Bytes.
 };
 
 /* The caller closed its connection, so it gets no answer. */
@@ -38,16 +38,16 @@
 
 enum class AttemptOutcome : std::uint8_t
 {
-  kCompleted,    ///< The whole answer arrived, and it belongs to the request.
-  kNotConnected, ///< No byte of the request was sent.
-  kNotRun,       ///< The endpoint refused and did not run it: model not loaded, role or queue.
-  kLeaving,      ///< The endpoint refused and did not run it, because it is leaving.
-  kCut,          ///< The answer is incomplete, or a 5xx status after which a retry is allowed.
-  kSilent,       ///< No byte arrived within the limit that StartAttempt sets.
-  kCrashed,      ///< The connection broke, and the host refuses new ones: the process has ended.
-  kMismatched,   ///< The answer belongs to another request.
-  kRejected,     ///< The endpoint answered with an error, after which a retry is useless.
-  kCancelled,    ///< The attempt was stopped by this daemon.
+  kCompleted,     ///< The whole answer arrived, and it belongs to the request.
+  kNotConnected,  ///< No byte of the request was sent.
+  kNotRun,        ///< The endpoint refused and did not run it: model not loaded, role or queue.
+  kLeaving,       ///< The endpoint refused and did not run it, because it is leaving.
+  kIncomplete,    ///< The answer is incomplete, or a 5xx status after which a retry is allowed.
+  kTimedOut,      ///< No byte arrived within the limit that StartAttempt sets.
+  kCrashed,       ///< The connection broke, and the host refuses new ones: the process has ended.
+  kForeignAnswer, ///< The answer belongs to another request.
+  kRejected,      ///< The endpoint answered with an error, after which a retry is useless.
+  kCancelled,     ///< The attempt was stopped by this daemon.
 };
 
 /* An attempt has ended. An attempt sends a request to one endpoint. */
@@ -56,7 +56,8 @@
   RequestId request;
   AttemptNumber attempt;
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  std::uint32_t delivered = 0; ///< Stream events delivered to the caller by all attempts so far.
+  std::uint32_t deliveredEvents =
+    0; ///< Stream events delivered to the caller by all attempts so far.
   /* The answer, for the claim of an at-most-once request. Only set with kCompleted. */
   std::uint16_t httpStatus = 0;
   std::string contentType;
@@ -83,9 +84,9 @@
 /* The result of a TableRead. */
 struct ReadResult
 {
-  ChangeId read;         ///< The id of the TableRead.
-  bool ok = false;       ///< False if the table gave no valid answer.
-  std::vector<Row> rows; ///< One row for each key, in the same order. Absent rows are included.
+  ChangeId read;             ///< The id of the TableRead.
+  bool hasSucceeded = false; ///< False if the table gave no valid answer.
+  std::vector<Row> rows;     ///< One row for each key, in the same order. Absent rows are included.
 };
 
 /* A model in the inventory of a runner. */
@@ -114,12 +115,12 @@
 {
   kAccepted, ///< The runner carries the order out. Another result follows.
   kDone,
-  kFenced,       ///< The runner rejected the order, because its fencing token is outdated.
-  kNoMemory,     ///< The runner has not enough memory for the order.
-  kFailed,       ///< The runner could not carry the order out.
-  kUnknown,      ///< No valid answer arrived. The order may take effect, even later.
-  kNotConnected, ///< No byte of the order was sent.
-  kRefused,      ///< The host refuses connections, because the runner's process has ended.
+  kFenced,            ///< The runner rejected the order, because its fencing token is outdated.
+  kNoMemory,          ///< The runner has not enough memory for the order.
+  kFailed,            ///< The runner could not carry the order out.
+  kUnknown,           ///< No valid answer arrived. The order may take effect, even later.
+  kNotConnected,      ///< No byte of the order was sent.
+  kConnectionRefused, ///< The host refuses connections, because the runner's process has ended.
 };
 
 /* The outcome of an order, and the inventory if the runner's answer contained one. */
--- a/src/decision/router/router_dispatch.cpp
+++ b/src/decision/router/router_dispatch.cpp
@@ -177,16 +177,16 @@
   // An at-most-once request may run past its deadline, so that its answer can still be stored.
   const Duration grace = isAtMostOnce ? kLateAnswerGrace : Duration{};
   const bool resumes = aContext.IsEnabled(Mechanism::kResumeOffset);
-  aContext.Emit(
-    StartAttempt{ .request = aRequest.arrived.request,
-                  .attempt = aRequest.attempt,
-                  .endpoint = aEndpoint,
-                  .address = aView.FindEndpoint(aEndpoint)->address,
-                  .resumeOffset = resumes ? aRequest.delivered : 0,
-                  .priority = aRequest.queued.priority,
-                  .reuse = isAtMostOnce ? ConnectionReuse::kFresh : ConnectionReuse::kAllowed,
-                  .progressLimit = aContext.settings().progressLimit,
-                  .timeLeft = aRequest.deadline - aContext.now() + grace });
+  aContext.Emit(StartAttempt{ .request = aRequest.arrived.request,
+                              .attempt = aRequest.attempt,
+                              .endpoint = aEndpoint,
+                              .address = aView.FindEndpoint(aEndpoint)->address,
+                              .resumeOffset = resumes ? aRequest.delivered : 0,
+                              .priority = aRequest.queued.priority,
+                              .reuse = isAtMostOnce ? ConnectionReuse::kNewConnection
+                                                    : ConnectionReuse::kAllowed,
+                              .progressLimit = aContext.settings().progressLimit,
+                              .timeLeft = aRequest.deadline - aContext.now() + grace });
 }
 
 } // namespace rhubarbtrail
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -59,7 +59,7 @@
   Request& request = found->second;
   const EndpointId endpoint = request.endpoint;
   const bool wasIsolated = IsIsolatedSuspect(aContext, request);
-  request.delivered = std::max(request.delivered, aEnded.delivered);
+  request.delivered = std::max(request.delivered, aEnded.deliveredEvents);
   RecordOutcome(aContext, aView, request, aEnded.outcome);
   ReleaseEndpoint(request);
   EndIsolation(aContext, aView, request);
@@ -106,9 +106,9 @@
       aView.RecordRefusedConnection(aContext, aRequest.endpoint);
       OnCrashed(aContext, aView, aRequest.endpoint);
       break;
-    case AttemptOutcome::kCut:
-    case AttemptOutcome::kSilent:
-    case AttemptOutcome::kMismatched:
+    case AttemptOutcome::kIncomplete:
+    case AttemptOutcome::kTimedOut:
+    case AttemptOutcome::kForeignAnswer:
     case AttemptOutcome::kRejected:
     case AttemptOutcome::kCancelled:
     case AttemptOutcome::kCompleted:
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -73,8 +73,8 @@
     return;
   }
   mReadInFlight = {};
-  mIsTableReachable = aResult.ok;
-  if (!aResult.ok || aResult.rows.size() != 2) {
+  mIsTableReachable = aResult.hasSucceeded;
+  if (!aResult.hasSucceeded || aResult.rows.size() != 2) {
     mNextLeaseAction = aContext.now() + aContext.settings().tableRetryDelay;
     aContext.WakeBy(mNextLeaseAction);
     return;
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -170,7 +170,7 @@
       runner.nextInventoryAt = aContext.now() + kInventoryInterval;
       Reconcile(aContext, aView, runner, aResult.inventory);
     } else {
-      if (aResult.outcome == OrderOutcome::kRefused && !runner.bootId.empty()) {
+      if (aResult.outcome == OrderOutcome::kConnectionRefused && !runner.bootId.empty()) {
         // The runner's process has ended, and with it the replicas that it had.
         Reconcile(aContext, aView, runner, { .bootId = kEndedProcessBootId, .models = {} });
       }
@@ -245,7 +245,7 @@
       RemoveReplica(aRunner, model);
       return;
     case OrderOutcome::kNotConnected:
-    case OrderOutcome::kRefused:
+    case OrderOutcome::kConnectionRefused:
       aRunner.reachability = RunnerReachability::kUnreachable;
       aRunner.nextInventoryAt = aContext.now();
       if (!aReplica.mayHaveReachedRunner && !aReplica.isReserved) {
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -223,7 +223,7 @@
   }
   mPollRead = {};
   // The row was read at or after the start of the poll, so its age is counted from that start.
-  if (aResult.ok) {
+  if (aResult.hasSucceeded) {
     const Row* head = aResult.rows.empty() ? nullptr : &aResult.rows.front();
     const auto* row =
       head != nullptr && head->value ? std::get_if<ConfigurationRow>(&*head->value) : nullptr;
--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -171,7 +171,7 @@
     AttemptEnded ended{ .request = mStart.request,
                         .attempt = mStart.attempt,
                         .outcome = DetermineOutcome(aResult),
-                        .delivered = mSession.delivered(),
+                        .deliveredEvents = mSession.delivered(),
                         .httpStatus = 0,
                         .contentType = {},
                         .answer = {} };
@@ -196,7 +196,7 @@
   AttemptOutcome DetermineOutcome(const httplib::Result& aResult) const
   {
     if (mIsMismatched) {
-      return AttemptOutcome::kMismatched;
+      return AttemptOutcome::kForeignAnswer;
     }
     if (!aResult) {
       return DetermineTransportOutcome(aResult.error());
@@ -208,15 +208,15 @@
       return AttemptOutcome::kNotRun;
     }
     if (mIsStream) {
-      return mIsEndMarkReceived ? AttemptOutcome::kCompleted : AttemptOutcome::kCut;
+      return mIsEndMarkReceived ? AttemptOutcome::kCompleted : AttemptOutcome::kIncomplete;
     }
     if (!mHasDefinedEnd) {
       // Without a length, a closed connection does not show whether the answer is complete.
-      return AttemptOutcome::kCut;
+      return AttemptOutcome::kIncomplete;
     }
     const bool isAtMostOnce = mSession.call().repeatability == Repeatability::kAtMostOnce;
     if (mStatus >= kHttpServerError && !isAtMostOnce) {
-      return AttemptOutcome::kCut;
+      return AttemptOutcome::kIncomplete;
     }
     return AttemptOutcome::kCompleted;
   }
@@ -233,9 +233,10 @@
       return AttemptOutcome::kCancelled;
     }
     if (std::chrono::steady_clock::now() - mLastProgressAt >= mProgressTimeout) {
-      return AttemptOutcome::kSilent;
+      return AttemptOutcome::kTimedOut;
     }
-    return RefusesConnections(mStart.address) ? AttemptOutcome::kCrashed : AttemptOutcome::kCut;
+    return RefusesConnections(mStart.address) ? AttemptOutcome::kCrashed
+                                              : AttemptOutcome::kIncomplete;
   }
 
   /* Records that bytes have arrived. Returns false when the attempt was stopped or superseded, or
@@ -300,7 +301,7 @@
   AttemptEnded notSent{ .request = aStart.request,
                         .attempt = aStart.attempt,
                         .outcome = AttemptOutcome::kNotConnected,
-                        .delivered = aSession.delivered() };
+                        .deliveredEvents = aSession.delivered() };
   if (!aSession.BeginAttempt(aStart.attempt)) {
     return notSent;
   }
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -43,7 +43,8 @@
                       .outcome = OrderOutcome::kUnknown,
                       .inventory = {} };
   if (aAnswer.outcome == HttpOutcome::kNotConnected) {
-    result.outcome = aAnswer.isRefused ? OrderOutcome::kRefused : OrderOutcome::kNotConnected;
+    result.outcome =
+      aAnswer.isRefused ? OrderOutcome::kConnectionRefused : OrderOutcome::kNotConnected;
     return result;
   }
   if (aAnswer.outcome != HttpOutcome::kAnswered || aAnswer.status != 200) {
@@ -95,7 +96,8 @@
                                .path = path,
                                .body = {},
                                .timeout = aOptions.timeout + kOrderStatusWait }));
-  if (result.outcome == OrderOutcome::kNotConnected || result.outcome == OrderOutcome::kRefused) {
+  if (result.outcome == OrderOutcome::kNotConnected ||
+      result.outcome == OrderOutcome::kConnectionRefused) {
     // The runner had accepted the order, so the order may still take effect.
     result.outcome = OrderOutcome::kUnknown;
   }
--- a/src/operator/configuration_store.cpp
+++ b/src/operator/configuration_store.cpp
@@ -31,7 +31,7 @@
 std::optional<ConfigurationStore::Head> ConfigurationStore::ReadHead() const
 {
   const ReadResult result = mTable.Read({ ChangeId{ "head" }, { ConfigurationHeadKey() } });
-  if (!result.ok) {
+  if (!result.hasSucceeded) {
     return std::nullopt;
   }
   Head head{ result.rows[0].version, {} };
@@ -53,7 +53,7 @@
 {
   const ReadResult result =
     mTable.Read({ ChangeId{ "history" }, { ConfigurationHistoryKey(aVersion) } });
-  if (!result.ok || !result.rows[0].value) {
+  if (!result.hasSucceeded || !result.rows[0].value) {
     return std::nullopt;
   }
   const auto* row = std::get_if<ConfigurationRow>(&*result.rows[0].value);
--- a/src/table/table_client.cpp
+++ b/src/table/table_client.cpp
@@ -104,7 +104,7 @@
   for (const RowKey& key : aRead.keys) {
     body["keys"].push_back(key.str());
   }
-  ReadResult result{ .read = aRead.read, .ok = false, .rows = {} };
+  ReadResult result{ .read = aRead.read, .hasSucceeded = false, .rows = {} };
   const HttpAnswer answer = CallHttp({ .address = mOptions.address,
                                        .method = "POST",
                                        .path = "/table/read",
@@ -115,11 +115,12 @@
   }
   try {
     result.rows = ParseRows(json::parse(answer.body).at("rows"));
-    result.ok = std::equal(result.rows.begin(),
-                           result.rows.end(),
-                           aRead.keys.begin(),
-                           aRead.keys.end(),
-                           [](const Row& aRow, const RowKey& aKey) { return aRow.key == aKey; });
+    result.hasSucceeded =
+      std::equal(result.rows.begin(),
+                 result.rows.end(),
+                 aRead.keys.begin(),
+                 aRead.keys.end(),
+                 [](const Row& aRow, const RowKey& aKey) { return aRow.key == aKey; });
   } catch (const std::exception&) {
     result.rows.clear();
   }
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -108,7 +108,7 @@
   options.settings.orderFlight = 1s;
   options.settings.replicaLifetime = 4s;
   options.settings.candidateRunners = 2;
-  options.disabled = mScenario.disabled;
+  options.disabledMechanisms = mScenario.disabled;
   host.node = std::make_unique<Node>(std::move(options));
   DeliverEvent(aHost, host.generation, Wake{}, 1ms);
 }
@@ -286,7 +286,7 @@
       } else if (!isSameProcess) {
         endAttempt(AttemptOutcome::kCrashed, 1ms);
       } else {
-        endAttempt(isSilent ? AttemptOutcome::kSilent : AttemptOutcome::kCompleted,
+        endAttempt(isSilent ? AttemptOutcome::kTimedOut : AttemptOutcome::kCompleted,
                    isSilent ? aAction.progressLimit : 1ms);
       }
     });
@@ -366,7 +366,7 @@
       return;
     }
     Schedule(requestDelay, [=, this] {
-      ReadResult result{ .read = aAction.read, .ok = true };
+      ReadResult result{ .read = aAction.read, .hasSucceeded = true };
       for (const RowKey& key : aAction.keys) {
         const auto row = mRows.find(key);
         result.rows.push_back(row == mRows.end() ? Row{ .key = key } : row->second);
@@ -395,7 +395,7 @@
     OrderResult failed{ .cell = aAction.cell, .runner = aAction.runner, .order = aAction.order };
     const FakeEndpoint* endpoint = FindEndpoint(aAction.runner);
     const bool isCut = mHosts[aHost].isCutFromRunners || endpoint->isUnreachable;
-    failed.outcome = isCut ? OrderOutcome::kNotConnected : OrderOutcome::kRefused;
+    failed.outcome = isCut ? OrderOutcome::kNotConnected : OrderOutcome::kConnectionRefused;
     if (mHosts[aHost].isCutFromRunners || !endpoint->isAlive || endpoint->isUnreachable) {
       DeliverEvent(aHost, generation, failed, 1ms);
       return;
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -39,7 +39,7 @@
            .attempt = AttemptNumber{ 2 },
            .address = aAddress,
            .resumeOffset = aOffset,
-           .reuse = ConnectionReuse::kFresh,
+           .reuse = ConnectionReuse::kNewConnection,
            .progressLimit = kTimeLimit,
            .timeLeft = kTimeLimit };
 }
@@ -56,11 +56,14 @@
   const std::string eventStreamType = "text/event-stream";
   return {
     { "whole", kBuffered, { .body = "{}", .headers = ownId }, kCompleted },
-    { "answer to another request", kBuffered, { .body = "{}", .headers = otherId }, kMismatched },
-    { "truncated", kBuffered, { .body = "{}", .fault = kTruncated }, kCut },
-    { "no length", kBuffered, { .body = "{}", .fault = kNoLength }, kCut },
-    { "late", kBuffered, { .body = "{}", .fault = kLate }, kSilent },
-    { "error", kBuffered, { .status = 500, .body = "{}" }, kCut },
+    { "answer to another request",
+      kBuffered,
+      { .body = "{}", .headers = otherId },
+      kForeignAnswer },
+    { "truncated", kBuffered, { .body = "{}", .fault = kTruncated }, kIncomplete },
+    { "no length", kBuffered, { .body = "{}", .fault = kNoLength }, kIncomplete },
+    { "late", kBuffered, { .body = "{}", .fault = kLate }, kTimedOut },
+    { "error", kBuffered, { .status = 500, .body = "{}" }, kIncomplete },
     { "refusal by the engine's own checks",
       kBuffered,
       { .status = 400, .body = "{}" },
@@ -75,7 +78,7 @@
     { "no end mark",
       kStream,
       { .body = kStreamWithoutEnd, .contentType = eventStreamType },
-      kCut,
+      kIncomplete,
       2 },
     { "end mark, then cut",
       kStream,
@@ -85,15 +88,19 @@
     { "cut",
       kStream,
       { .body = kStreamWithoutEnd, .fault = kTruncated, .contentType = eventStreamType },
-      kCut,
+      kIncomplete,
       2 },
-    { "truncated event", kStream, { .body = "data: a", .contentType = eventStreamType }, kCut, 0 },
+    { "truncated event",
+      kStream,
+      { .body = "data: a", .contentType = eventStreamType },
+      kIncomplete,
+      0 },
     { "stream of another request",
       kStream,
       { .body = kCompleteStream, .headers = otherId, .contentType = eventStreamType },
-      kMismatched,
+      kForeignAnswer,
       0 },
-    { "silent", kStream, { .body = kCompleteStream, .fault = kLate }, kSilent, 0 },
+    { "silent", kStream, { .body = kCompleteStream, .fault = kLate }, kTimedOut, 0 },
   };
 }
 
@@ -121,7 +128,7 @@
     const auto session = MakeSession(item.form);
     const AttemptEnded ended = RunAttempt(*session, MakeAttempt(server.address()));
     CHECK(static_cast<int>(ended.outcome) == static_cast<int>(item.outcome));
-    CHECK(ended.delivered == item.delivered);
+    CHECK(ended.deliveredEvents == item.delivered);
     CHECK(server.callCount() == 1);
   }
 }
@@ -153,7 +160,7 @@
     const auto session = MakeSession(AnswerForm::kStream);
     session->BeginAttempt(AttemptNumber{ 1 });
     session->PushEvent(AttemptNumber{ 1 }, 0, "data: a\n\n");
-    CHECK(RunAttempt(*session, MakeAttempt(server.address(), 1)).delivered == 3);
+    CHECK(RunAttempt(*session, MakeAttempt(server.address(), 1)).deliveredEvents == 3);
     CHECK(WaitForPart(*session)->data == kCompleteStream);
   }
 }
@@ -212,7 +219,7 @@
           static_cast<int>(item.outcome));
   }
   const SendOrder order{ .address = ClosedAddress(), .order = OrderId{ "o" } };
-  CHECK(SendOrderToRunner(options, order).outcome == kRefused);
+  CHECK(SendOrderToRunner(options, order).outcome == kConnectionRefused);
   CHECK(WaitForOrder(options, order).outcome == kUnknown);
 }
 
--- a/tests/unit/contract_platform_test.cpp
+++ b/tests/unit/contract_platform_test.cpp
@@ -77,7 +77,7 @@
     CAPTURE(item.name);
     const FakeServer server(item.answer);
     const TableClient client({ .address = server.address(), .timeout = kTimeLimit });
-    CHECK(client.Read({ ChangeId{ "r" }, { RowKey{ "k" } } }).ok == item.isAccepted);
+    CHECK(client.Read({ ChangeId{ "r" }, { RowKey{ "k" } } }).hasSucceeded == item.isAccepted);
   }
 }
 
--- a/tests/unit/router_world.h
+++ b/tests/unit/router_world.h
@@ -91,8 +91,10 @@
     }
     mConfiguration = configuration;
     for (std::size_t index = 0; index < mOptions.daemons; ++index) {
-      mDaemons.push_back(std::make_unique<Node>(NodeOptions{
-        .self = IncarnationOf(index), .settings = settings, .disabled = mOptions.disabled }));
+      mDaemons.push_back(
+        std::make_unique<Node>(NodeOptions{ .self = IncarnationOf(index),
+                                            .settings = settings,
+                                            .disabledMechanisms = mOptions.disabled }));
       Post(index, {}, ConfigurationLoaded{ { .version = { 1 } }, mConfiguration });
     }
     SendHostList();
@@ -323,7 +325,7 @@
   }
   void Execute(std::size_t aDaemon, const TableRead& aRead)
   {
-    ReadResult result{ .read = aRead.read, .ok = mode == TableMode::kUp, .rows = {} };
+    ReadResult result{ .read = aRead.read, .hasSucceeded = mode == TableMode::kUp, .rows = {} };
     for (const RowKey& key : aRead.keys) {
       Row& row = table[key];
       row.key = key;
--- a/tests/unit/wake_test.cpp
+++ b/tests/unit/wake_test.cpp
@@ -12,7 +12,7 @@
   Node node({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "a" },
               .settings = {},
-              .disabled = {} });
+              .disabledMechanisms = {} });
   TimePoint now{ 1h };
   TimePoint wake = TimePoint::max();
   int heartbeats = 0;
--- a/tools/router_bench.cpp
+++ b/tools/router_bench.cpp
@@ -72,7 +72,7 @@
       std::uniform_int_distribution<int> dice(0, 99);
       world.endOfAttempt = [&](const StartedAttempt&) {
         const bool fails = dice(random) < percent;
-        return std::optional{ SimulatedEnd{ fails ? AttemptOutcome::kCut
+        return std::optional{ SimulatedEnd{ fails ? AttemptOutcome::kIncomplete
                                                   : AttemptOutcome::kCompleted } };
       };
       constexpr int kRequests = 2'000;
