--- a/bench/arrivals.cpp
+++ b/bench/arrivals.cpp
@@ -1,4 +1,5 @@
-/* Arrival lists: sessions of heavy-tailed distance, a few popular and a few periodic models. */
+/* Generates sessions of requests. A few models are popular, a few are used periodically, and the
+ * others have idle times with a heavy-tailed distribution. */
 #include "bench/arrivals.h"
 
 #include <algorithm>
@@ -13,7 +14,8 @@
 constexpr std::uint32_t kModels = 50;
 constexpr std::uint32_t kPopularModels = 5;
 constexpr std::uint32_t kPeriodicModels = 10;
-/* Weight store to accelerator, in megabytes a second. */
+/* Speed at which weights get from the weight store to an accelerator. It sets the expected load
+ * times in the configuration. */
 constexpr std::int64_t kStoreMbPerSecond = 2'000;
 constexpr double kPopularIdleSeconds = 90;
 constexpr double kMeanRequestSeconds = 2;
@@ -49,7 +51,8 @@
   return deployment;
 }
 
-/* Busy at noon, quiet at midnight. */
+/* Returns the number by which idle times are divided: 0.4 at midnight and 1.6 at noon. Time 0 is
+ * midnight. */
 double DailyRhythm(double aSeconds)
 {
   constexpr double kDay = 86'400;
@@ -92,7 +95,7 @@
     const std::uint32_t index = number++;
     const bool isPopular = index < kPopularModels;
     const bool isPeriodic = index >= kPopularModels && index < kPopularModels + kPeriodicModels;
-    // Models differ in how rarely they are used, by a factor of up to four either way.
+    // The median idle time of a model is between a quarter and four times the common value.
     const double scale = (isPopular ? kPopularIdleSeconds : aDeployment.medianIdleSeconds) *
                          std::exp2(4 * uniform(random) - 2);
     for (double at = scale * uniform(random); at < length;) {
--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -1,4 +1,5 @@
-/* Measures the slopes behind docs/CAPACITY.md: what an event costs as the fleet grows. */
+/* Measures how the processing time of events and the memory of a node grow with the fleet, for
+ * docs/CAPACITY.md. */
 #include "codec/json_codec.h"
 #include "decision/decision.h"
 
@@ -16,24 +17,27 @@
 
 using namespace rhubarbtrail;
 
-/* The parts of a fleet that one node knows. */
+/* Size of a fleet, as far as a node stores it. */
 struct Fleet
 {
-  std::uint32_t members = 7;
-  std::uint32_t endpoints = 9; ///< Of the whole fleet.
-  std::uint32_t runners = 9;   ///< Of the cell that the node holds.
-  std::uint32_t models = 50;
-  std::uint32_t adapters = 56;
-  std::uint32_t otherCells = 0; ///< Held by other daemons.
+  std::uint32_t members = 7;    ///< Daemons, including the measured one.
+  std::uint32_t endpoints = 9;  ///< All endpoints, including the runners of the node's cell.
+  std::uint32_t runners = 9;    ///< Runners of the cell whose lease the node holds.
+  std::uint32_t models = 50;    ///< Models in the configuration, all in the node's cell.
+  std::uint32_t adapters = 56;  ///< Adapters of all models together.
+  std::uint32_t otherCells = 0; ///< Cells whose leases another daemon holds.
 };
 
+/* Processing time of one kind of event, in microseconds. */
 struct Cost
 {
   double meanUs = 0;
   double p99Us = 0;
 };
 
-/* Table reads of a daemon that starts together with all others, in its first second. */
+/* Returns the number of table reads that a daemon issues when it starts and when it wakes up 500 ms
+ * later. The host list already has all daemons, but none has sent a heartbeat, and no read is
+ * answered. */
 std::uint64_t ReadsAtStart(std::uint32_t aMembers, std::uint32_t aCells)
 {
   Node node({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
@@ -69,16 +73,18 @@
   return reads;
 }
 
-/* Loaded models on each runner. */
+/* Number of loaded models on each runner. */
 constexpr std::uint32_t kReplicasPerRunner = 5;
-constexpr std::uint32_t kEvents = 2'000;
+constexpr std::uint32_t kEvents = 2'000; ///< Measured events of a kind, at most.
 
 std::size_t HeapBytes()
 {
   return mallinfo2().uordblks;
 }
 
-/* A node that holds one cell, all of whose runners have answered. */
+/* A node that holds the lease of one cell, and fakes for the table, the runners and the other
+ * daemons. The first inventory orders, as many as there are runners, are answered at once. Later
+ * ones are stored for Inventories(). */
 class Bench
 {
 public:
@@ -100,7 +106,8 @@
     }
   }
 
-  /* Costs of requests for models with a known replica, arrival and end each. */
+  /* Measures the arrival of requests for models with a known replica. The end of each attempt is
+   * processed, too, but its time is not counted. */
   Cost Requests()
   {
     std::vector<double> costs;
@@ -124,7 +131,7 @@
     return CostOf(costs);
   }
 
-  /* Costs of demands that report the use of a loaded model. */
+  /* Measures demand messages of another daemon that report the use of a loaded model. */
   Cost Demands()
   {
     std::vector<double> costs;
@@ -140,7 +147,8 @@
     return CostOf(costs);
   }
 
-  /* Costs of inventories, after which the holder looks at the whole cell. */
+  /* Measures the results of inventory orders. When all have been answered, a wake-up makes the node
+   * send new ones, which is not counted. */
   Cost Inventories()
   {
     std::vector<double> costs;
@@ -158,7 +166,8 @@
     return CostOf(costs);
   }
 
-  /* Costs of one second's wake: heartbeats to all members and the look at the cell. */
+  /* Measures the wake-ups of a node that wakes up once a second: it sends heartbeats to the other
+   * daemons and checks its cell. */
   Cost Wakes()
   {
     std::vector<double> costs;
@@ -170,7 +179,8 @@
     return CostOf(costs);
   }
 
-  /* Returns the heartbeat messages sent in one second, replies to those of the members included. */
+  /* Returns the number of heartbeat messages that the node sends in one second, including the
+   * replies to the heartbeats of the other daemons. */
   std::uint64_t HeartbeatsPerSecond()
   {
     Advance(1s);
@@ -301,14 +311,15 @@
 
   void Apply(const Event& aEvent) { Answer(mNode.Apply(mNow, aEvent)); }
 
-  /* Answers what the node asks of the table and, once, of each runner. */
+  /* Answers the table calls and demands of the node, and delivers its messages to itself. Answers
+   * the first inventory orders, as many as there are runners, and stores the later ones. */
   void Answer(const std::vector<Action>& aActions)
   {
     for (const Action& action : aActions) {
       if (const auto* read = std::get_if<TableRead>(&action)) {
         ReadResult result{ .read = read->read, .ok = true, .rows = {} };
         for (const RowKey& key : read->keys) {
-          // The lease of another cell has a holder.
+          // Another daemon, d1, holds the lease of each other cell.
           Row row{ .key = key, .version = {}, .value = {} };
           if (key.str().starts_with("cell/other")) {
             row.version = { ++mVersion };
@@ -392,7 +403,7 @@
 
 int main(int aArgc, char** aArgv)
 {
-  CLI::App app{ "Measures the cost of events as the fleet grows." };
+  CLI::App app{ "Measures the processing time of events and the memory of a node by fleet size." };
   CLI11_PARSE(app, aArgc, aArgv);
   std::printf("%-22s %7s %9s %7s %6s %7s %7s %7s %7s %8s %8s %9s %8s %7s\n",
               "fleet",
--- a/bench/cell_world.cpp
+++ b/bench/cell_world.cpp
@@ -1,4 +1,4 @@
-/* Fakes around one node. */
+/* Simulates the runners, the weight store and the table for one node. */
 #include "bench/cell_world.h"
 
 #include <algorithm>
@@ -7,14 +7,17 @@
 
 namespace {
 
-constexpr Duration kTableDelay = 5ms;
-constexpr Duration kOrderDelay = 2ms;
-constexpr Duration kMessageDelay = 1ms;
-constexpr Duration kAdapterLoad = 10ms;
-/* Loads that the weight store serves at full speed. */
+constexpr Duration kTableDelay = 5ms;   ///< Time of a table call.
+constexpr Duration kOrderDelay = 2ms;   ///< Time from an order to the runner's first answer.
+constexpr Duration kMessageDelay = 1ms; ///< Delay of a message, and of a refused attempt.
+constexpr Duration kAdapterLoad = 10ms; ///< Time to load an adapter.
+/* Number of concurrent loads that the weight store serves at full speed. With n loads in progress,
+ * including the new one, the new one takes n divided by this number times as long, if that is more
+ * than 1. */
 constexpr std::uint32_t kStoreFullSpeed = 4;
-/* Checkpoints that a runner's host keeps in memory, and the load time from there. */
+/* Maximum number of checkpoints that a runner's host keeps in memory. */
 constexpr std::size_t kCachedCheckpoints = 3;
+/* Time of a load from host memory, as a fraction of the model's expected load time. */
 constexpr double kCachedLoadShare = 0.2;
 
 const ServiceId kService{ "models" };
@@ -100,7 +103,7 @@
   }
 }
 
-/* Adds up the idle share of the runners' memory since the last step. */
+/* Adds the memory that was idle since the previous event to the result, except for the warm-up. */
 void CellWorld::Account()
 {
   const TimePoint from = std::max(mAccountedTo, mMeasureFrom);
@@ -167,7 +170,8 @@
     return;
   }
   if (aAction.code != ResultCode::kOk && found->second.arrival.isWakeUp && IsMeasured()) {
-    // A refused wake-up waited at least until its refusal; it counts with its whole deadline.
+    // The time until the refusal is only a lower bound of the wait, because the request was never
+    // served. It counts with its whole deadline of 120 s.
     mOutcome.wakeUpSeconds.push_back(std::chrono::duration<double>(120s).count());
   }
   mPending.erase(found);
--- a/bench/cell_world.h
+++ b/bench/cell_world.h
@@ -1,4 +1,4 @@
-/* Small fakes around one node: runners, weight store and table, with given time. */
+/* Simulates the runners, the weight store and the table for one node, in virtual time. */
 #ifndef RHUBARBTRAIL_BENCH_CELL_WORLD_H
 #define RHUBARBTRAIL_BENCH_CELL_WORLD_H
 
@@ -13,31 +13,37 @@
 
 namespace rhubarbtrail::bench {
 
-/* What came of a run. */
+/* Counts and times of a run, without its warm-up. */
 struct Outcome
 {
-  std::vector<double> wakeUpSeconds; ///< Wait of the first request of each wake-up.
+  /* Wait of the first request of each session until a runner starts it. A refused one counts with
+   * its whole deadline. */
+  std::vector<double> wakeUpSeconds;
+  /* Sum over all loaded or loading models without a running request: the model's share of a
+   * runner's memory, multiplied by the hours in this state. */
   double idleAcceleratorHours = 0;
   std::map<ResultCode, std::uint64_t> refusals;
   std::uint64_t requests = 0;
-  std::uint64_t coldWakeUps = 0; ///< Wake-ups that found no ready replica.
+  std::uint64_t coldWakeUps = 0; ///< First requests of a session that found no ready replica.
   std::uint64_t loads = 0;
-  std::uint64_t wastedLoads = 0; ///< Unloaded without having served a request.
-  std::uint64_t storeLoads = 0;  ///< Loads that the weight store served.
+  std::uint64_t wastedLoads = 0; ///< Replicas that were unloaded without having served a request.
+  std::uint64_t storeLoads = 0;  ///< Loads from the weight store, not from a host's memory.
 };
 
-/* Whether the runners say which checkpoints their hosts keep. */
+/* Whether the inventories of the runners list the checkpoints that their hosts keep in memory. */
 enum class CheckpointReport : std::uint8_t
 {
   kNone,
   kListed,
 };
 
-/* One cell, driven by one node that is both its router and its holder. */
+/* One cell with one node, which is both the router and the lease holder. */
 class CellWorld
 {
 public:
+  /* Nothing that happens within aWarmUp is counted. */
   CellWorld(const Deployment& aDeployment, Duration aWarmUp, CheckpointReport aReport);
+  /* Simulates the arrivals until aLength. Call it only once. */
   Outcome Run(const std::vector<Arrival>& aArrivals, Duration aLength);
 
 private:
@@ -52,7 +58,7 @@
   struct FakeRunner
   {
     std::map<ModelId, Loaded> models;
-    std::list<ModelId> checkpoints; ///< In host memory, the latest used first.
+    std::list<ModelId> checkpoints; ///< Kept in host memory; the one unloaded last is the first.
   };
   struct Pending
   {
@@ -79,6 +85,7 @@
   Inventory InventoryOf(const FakeRunner& aRunner) const;
   void Account();
   bool IsMeasured() const { return mNow >= mMeasureFrom; }
+  /* Whether any runner has the model ready. The adapter is not checked. */
   bool IsReady(const Artifact& aArtifact) const;
 
   Configuration mConfiguration;
@@ -92,7 +99,7 @@
   std::map<RowKey, Row> mTable;
   std::map<EndpointId, FakeRunner> mRunners;
   std::unordered_map<RequestId, Pending> mPending;
-  std::uint32_t mStoreLoads = 0; ///< Under way.
+  std::uint32_t mStoreLoads = 0; ///< Loads from the weight store in progress.
   std::uint64_t mNextRequest = 0;
   Outcome mOutcome;
 };
--- a/bench/latency.cpp
+++ b/bench/latency.cpp
@@ -1,4 +1,5 @@
-/* Measures what a daemon adds to a call of an engine: both paths side by side at a fixed rate. */
+/* Measures the latency that a daemon adds to a call of an engine. Sends the same requests to the
+ * engine and through the daemon, at the same time and at the same fixed rate. */
 #include <CLI/CLI.hpp>
 #include <httplib.h>
 #include <nlohmann/json.hpp>
@@ -22,12 +23,12 @@
   std::string daemon;
   std::string key;
   std::string model = "m0";
-  int rate = 500; ///< Requests a second on each path; 0 sends as fast as answers come.
+  int rate = 500; ///< Requests per second on each path. With 0, a thread sends after each answer.
   int seconds = 10;
   int threads = 32;
 };
 
-/* The latencies of one path in microseconds. */
+/* Latencies and failures of one path. */
 class Latencies
 {
 public:
@@ -38,6 +39,7 @@
   }
   void AddFailure() { ++mFailures; }
 
+  /* Returns counts and percentiles as JSON. Call it after all requests have ended. */
   nlohmann::json Summary()
   {
     std::sort(mValues.begin(), mValues.end());
@@ -73,7 +75,9 @@
   }
 }
 
-/* Sends on one path; each thread takes the next turn of a common schedule. */
+/* Sends requests on one path. Each thread has one connection and takes the next send time of a
+ * schedule that all threads share. The latency of a request counts from its sending, which is after
+ * its send time if all threads were busy then. */
 void Load(const Options& aOptions, const std::string& aAddress, Latencies& aOut)
 {
   const auto start = Clock::now() + std::chrono::milliseconds{ 200 };
@@ -108,14 +112,17 @@
 int main(int aArgc, char** aArgv)
 {
   Options options;
-  CLI::App app{ "Measures the latency that a daemon adds." };
-  app.add_option("--direct", options.direct, "host:port of the engine; empty for none");
+  CLI::App app{ "Measures the latency that a daemon adds to a call of an engine." };
+  app.add_option(
+    "--direct", options.direct, "host:port of the engine; if empty, only the daemon is called");
   app.add_option("--daemon", options.daemon, "host:port of the daemon")->required();
-  app.add_option("--key", options.key, "API key")->required();
-  app.add_option("--model", options.model, "Model that is loaded");
-  app.add_option("--rate", options.rate, "Requests a second on each path; 0 for no pause");
-  app.add_option("--seconds", options.seconds, "Length of the run");
-  app.add_option("--threads", options.threads, "Connections on each path");
+  app.add_option("--key", options.key, "API key of a customer")->required();
+  app.add_option("--model", options.model, "Model of the requests; it must be loaded");
+  app.add_option("--rate",
+                 options.rate,
+                 "Requests per second on each path; with 0, each thread sends after each answer");
+  app.add_option("--seconds", options.seconds, "Duration of the run in seconds");
+  app.add_option("--threads", options.threads, "Threads on each path, with one connection each");
   CLI11_PARSE(app, aArgc, aArgv);
 
   Latencies direct;
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,4 +1,4 @@
-"""Measures one daemon on loopback: added latency, requests a second, memory of a connection."""
+"""Measures a daemon on loopback: added latency, requests per second, memory of a connection."""
 
 from __future__ import annotations
 
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,5 +1,6 @@
-/* Compares keep-alive policies: the decision library alone, over generated arrivals with given
- * time. Prints a table of medians over the seeds, and the runs as JSON. */
+/* Compares keep-alive policies of the decision library in simulations with generated arrivals and
+ * virtual time. Prints a table of medians over the seeds, and writes all runs to a JSON file if one
+ * is given. */
 #include "bench/cell_world.h"
 
 #include <CLI/CLI.hpp>
@@ -18,6 +19,7 @@
 using namespace rhubarbtrail::bench;
 using nlohmann::json;
 
+/* A policy to compare, and whether the runners report their checkpoints. */
 struct Candidate
 {
   std::string name;
@@ -25,6 +27,7 @@
   CheckpointReport report = CheckpointReport::kListed;
 };
 
+/* One simulation: its parameters and, once it has run, its result. */
 struct Run
 {
   std::string deployment;
@@ -34,6 +37,8 @@
   Outcome outcome;
 };
 
+/* Returns the value at the share aShare of the sorted values, with the rank rounded down. Returns 0
+ * if there are no values. */
 double Percentile(std::vector<double> aValues, double aShare)
 {
   if (aValues.empty()) {
@@ -81,6 +86,7 @@
   return Percentile(values, 0.5);
 }
 
+/* Prints a line for each deployment and policy, with the medians over the seeds. */
 void PrintTable(const std::vector<json>& aRuns)
 {
   std::map<std::pair<std::string, std::string>, std::vector<json>> groups;
@@ -121,19 +127,22 @@
 
 int main(int aArgc, char** aArgv)
 {
-  CLI::App app{ "Compares keep-alive policies over generated arrivals." };
+  CLI::App app{ "Compares keep-alive policies in simulations with generated arrivals." };
   std::vector<std::uint64_t> seeds{ 1, 2, 3 };
   double hours = 24;
   double warmUpHours = 4;
   unsigned threads = 2;
   std::vector<double> weights{ 0.02, 0.05, 0.1, 0.2, 0.5, 1.0 };
   std::string out;
-  app.add_option("--seeds", seeds, "Seeds of the arrival lists.");
-  app.add_option("--hours", hours, "Length of each run.");
-  app.add_option("--warm-up-hours", warmUpHours, "Part at the start that is not counted.");
-  app.add_option("--threads", threads, "Runs at a time.");
-  app.add_option("--weights", weights, "Weights of the cost-aware policy.");
-  app.add_option("--json", out, "File for the runs as JSON.");
+  app.add_option(
+    "--seeds", seeds, "Seeds of the arrivals; one run of each policy and deployment per seed.");
+  app.add_option("--hours", hours, "Simulated hours of each run, including the warm-up.");
+  app.add_option(
+    "--warm-up-hours", warmUpHours, "Hours at the start of each run that are not counted.");
+  app.add_option("--threads", threads, "Number of runs at the same time.");
+  app.add_option(
+    "--weights", weights, "Cold-start weights with which the cost-aware policy is run.");
+  app.add_option("--json", out, "File to which all runs are written as JSON.");
   CLI11_PARSE(app, aArgc, aArgv);
 
   std::vector<Candidate> candidates{ { "baseline", FixedKeepAlive{}, CheckpointReport::kNone },
--- a/bench/run_load.py
+++ b/bench/run_load.py
@@ -1,4 +1,4 @@
-"""Starts a deployment on loopback and runs one load scenario against its daemons."""
+"""Starts a deployment on loopback, runs a load scenario, and counts the loads of the runners."""
 
 from __future__ import annotations
 
