--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -1,4 +1,5 @@
-/* Stand-in for a model engine. */
+/* Stand-in for a model engine. It carries out orders of the lease holder, and answers completions
+ * with generated text. */
 #include "standin/standin.h"
 
 #include <algorithm>
@@ -14,6 +15,7 @@
 namespace {
 
 constexpr int kDefaultTokens = 16;
+/* A completion request whose body contains this text ends the engine's process. */
 constexpr const char* kCrashWord = "CRASH-THE-ENGINE";
 
 struct Model
@@ -25,7 +27,7 @@
   int running = 0;
 };
 
-/* The engine's state; every member is guarded by the mutex. */
+/* The state of the engine. The mutex guards all members that change. */
 struct Engine
 {
   explicit Engine(const Options& aOptions)
@@ -65,10 +67,10 @@
   std::mutex mutex;
   std::condition_variable changed;
   std::map<std::string, Model> models;
-  std::map<std::string, std::string> orders; ///< State by order id.
-  std::uint64_t fence = 0;
-  int running = 0;
-  std::multiset<int> waiting; ///< Priorities of waiting requests.
+  std::map<std::string, std::string> orders; ///< State of each order, by its id.
+  std::uint64_t fence = 0;                   ///< Highest fencing token of an order so far.
+  int running = 0;                           ///< Requests that run, of all models.
+  std::multiset<int> waiting;                ///< Priorities of the requests that wait for a slot.
   bool isLeaving = false;
 };
 
@@ -79,6 +81,7 @@
   return { { "order", aOrder }, { "state", aState }, { "inventory", aEngine.Inventory() } };
 }
 
+/* Waits for the load of a checkpoint from the weight store of the platform. */
 void FetchFromStore(const Options& aOptions, long aMb)
 {
   httplib::Client client("http://" + aOptions.platform);
@@ -86,6 +89,7 @@
   client.Post("/store/load", json{ { "mb", aMb } }.dump(), "application/json");
 }
 
+/* Adds the model to the engine, and marks it as ready once it has been loaded in the background. */
 void StartLoad(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
 {
   const std::string id = aOrder.at("model");
@@ -113,7 +117,7 @@
   }).detach();
 }
 
-/* Carries out an order that is new; returns its state. */
+/* Carries out an order that the engine has not seen before. Returns its state. */
 std::string CarryOut(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
 {
   const std::string kind = aOrder.at("kind");
@@ -198,7 +202,7 @@
   aResponse.set_content(OrderReply(*aEngine, id, state).dump(), "application/json");
 }
 
-/* Takes a place in the batch; lower numbers go first. */
+/* Waits for a slot, and occupies it. Requests with lower priority numbers get slots first. */
 void EnterBatch(Engine& aEngine, int aPriority)
 {
   std::unique_lock lock(aEngine.mutex);
@@ -210,6 +214,7 @@
   ++aEngine.running;
 }
 
+/* Frees the slot of a request that has ended. */
 void LeaveBatch(Engine& aEngine, const std::string& aModel)
 {
   {
@@ -223,7 +228,8 @@
   aEngine.changed.notify_all();
 }
 
-/* The text of a token depends on the prompt and its place only, on every engine alike. */
+/* Returns the text of a token. It depends only on the prompt and on the index of the token, so that
+ * every engine gives the same answer and can resume a stream of another one. */
 std::string TokenText(std::size_t aPromptHash, int aIndex)
 {
   return "w" + std::to_string((aPromptHash + static_cast<std::size_t>(aIndex) * 7'919) % 10'000) +
@@ -236,7 +242,7 @@
                                     : aBody.value("prompt", json("")).dump();
 }
 
-/* One completion that is running. */
+/* A completion that is in progress. */
 struct Run
 {
   std::string id;
@@ -315,7 +321,8 @@
   }
 }
 
-/* Returns why a request is not run, or an empty text. */
+/* Counts the request as running on its model and returns an empty string, or returns the reason for
+ * which the request is refused. */
 std::string RefusalOf(Engine& aEngine, const std::string& aModel, const std::string& aAdapter)
 {
   const std::lock_guard lock(aEngine.mutex);
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -1,4 +1,4 @@
-/* Runs one stand-in: platform, engine or service. */
+/* Runs a stand-in for the platform, a model engine or a plain service. */
 #include "standin/standin.h"
 
 #include <CLI/CLI.hpp>
@@ -37,20 +37,28 @@
 int main(int aArgc, char** aArgv)
 {
   standin::Options options;
-  CLI::App app{ "A stand-in for the platform's side." };
+  CLI::App app{ "Runs a stand-in for the platform, a model engine or a plain service." };
   app.add_option("role", options.role, "platform, engine or service")->required();
-  app.add_option("--id", options.id, "Name of the endpoint");
-  app.add_option("--address-file", options.addressFile, "Receives host:port")->required();
-  app.add_option("--platform", options.platform, "host:port of the platform stand-in");
-  app.add_option("--checks-fence", options.checksFence, "Refuse orders with an old number");
-  app.add_option("--memory-mb", options.memoryMb, "Accelerator memory");
-  app.add_option("--slots", options.slots, "Requests in a batch");
-  app.add_option("--token-ms", options.tokenMs, "Time of a token");
-  app.add_option("--writes", options.writesPerSecond, "Table writes a second");
-  app.add_option("--reads", options.readsPerSecond, "Table reads a second");
-  app.add_option("--store-mb", options.storeMbPerSecond, "Store MB a second for one load");
-  app.add_option("--store-slots", options.storeSlots, "Loads at full speed");
-  app.add_option("--host-lag-ms", options.hostLagMs, "Lag of the host list");
+  app.add_option("--id", options.id, "Id of the endpoint");
+  app
+    .add_option(
+      "--address-file", options.addressFile, "File to which the listening host:port is written")
+    ->required();
+  app.add_option("--platform", options.platform, "host:port of the platform stand-in, for loads");
+  app.add_option(
+    "--checks-fence", options.checksFence, "Reject orders with an outdated fencing token");
+  app.add_option("--memory-mb", options.memoryMb, "Accelerator memory in MB");
+  app.add_option("--slots", options.slots, "Maximum number of requests that run at the same time");
+  app.add_option("--token-ms", options.tokenMs, "Time that a token takes, in milliseconds");
+  app.add_option("--writes", options.writesPerSecond, "Maximum table transactions per second");
+  app.add_option("--reads", options.readsPerSecond, "Maximum table reads per second");
+  app.add_option(
+    "--store-mb", options.storeMbPerSecond, "MB per second of a weight store load at full speed");
+  app.add_option("--store-slots",
+                 options.storeSlots,
+                 "Concurrent loads that the weight store serves at full speed");
+  app.add_option(
+    "--host-lag-ms", options.hostLagMs, "Delay of changes to the host list, in milliseconds");
   CLI11_PARSE(app, aArgc, aArgv);
 
   standin::Server server;
@@ -68,7 +76,8 @@
   int listener = -1;
   server.http.set_socket_options([&listener](int aSocket) { listener = aSocket; });
   const int port = server.http.bind_to_any_port("127.0.0.1");
-  listen(listener, 1'024); // The library asks for 5, which drops bursts of connections.
+  listen(listener, 1'024); // The library's backlog of 5 drops connections that arrive in bursts.
+  // The file is renamed when it is complete, so that nobody reads a part of the address.
   const std::string partial = options.addressFile + ".partial";
   std::ofstream(partial) << "127.0.0.1:" << port << "\n";
   std::rename(partial.c_str(), options.addressFile.c_str());
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -12,7 +12,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-/* Spreads calls so that no more than a number start in a second. */
+/* Limits the rate of calls by letting each one wait. Calls after an idle time may start at once, as
+ * many as belong to 100 ms. */
 class RateLimit
 {
 public:
@@ -43,6 +44,7 @@
   std::string value;
 };
 
+/* The rows of the table service. */
 class Table
 {
 public:
@@ -57,7 +59,7 @@
              { "value", found->second.value } };
   }
 
-  /* Carries a transaction out; returns the status and the body. */
+  /* Executes a transaction. Returns the HTTP status and the body of the answer. */
   std::pair<int, json> Commit(const json& aBody)
   {
     const std::lock_guard lock(mMutex);
@@ -100,6 +102,7 @@
   std::uint64_t mLastVersion = 0;
 };
 
+/* The host list. A change becomes visible after a fixed delay. */
 class HostList
 {
 public:
@@ -146,7 +149,8 @@
   std::map<std::string, json> mHosts;
 };
 
-/* Makes a caller wait as long as a load takes; beyond its slots all loads slow down. */
+/* The weight store. A call of Load() returns after the time that the load takes. If more loads are
+ * in progress than the store has slots, a new load takes longer in proportion. */
 class WeightStore
 {
 public:
@@ -182,7 +186,7 @@
   Options options;
 };
 
-/* Applies the faults that all table calls share; true when the call is to be refused. */
+/* Applies the faults that all table calls have in common. Returns whether the call is refused. */
 bool IsTableDown(Server& aServer, httplib::Response& aResponse)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ aServer.faults.Value("table_slow_ms") });
--- a/standin/service.cpp
+++ b/standin/service.cpp
@@ -1,4 +1,6 @@
-/* Stand-in for a plain service: a ledger, or a booking application. */
+/* Stand-in for a plain service, such as a ledger or a booking application. It answers every GET,
+ * POST, PUT and DELETE with its id and the number of the run, and records each run in the journal.
+ * After POST /admin/leave it refuses them with status 503. */
 #include "standin/standin.h"
 
 #include <memory>
--- a/standin/standin.h
+++ b/standin/standin.h
@@ -1,4 +1,5 @@
-/* Small stand-ins for the platform's side: for tests and the demo only, never installed. */
+/* Small stand-ins for the platform, for model engines and for plain services. Tests, the demo and
+ * the benchmarks use them. They are never installed. */
 #ifndef RHUBARBTRAIL_STANDIN_STANDIN_H
 #define RHUBARBTRAIL_STANDIN_STANDIN_H
 
@@ -14,25 +15,26 @@
 
 using nlohmann::json;
 
-/* Options that the command line gives; each role reads its own. */
+/* Command line options of all roles. Each role reads only its own. */
 struct Options
 {
   std::string role;
   std::string id;
   std::string addressFile;
-  std::string platform; ///< host:port of the platform stand-in, for loads.
-  bool checksFence = true;
-  long memoryMb = 80'000;
-  int slots = 16;
-  int tokenMs = 5;
-  int writesPerSecond = 400;
-  int readsPerSecond = 2'000;
-  int storeMbPerSecond = 20'000;
-  int storeSlots = 4;
-  int hostLagMs = 0;
+  std::string platform; ///< host:port of the platform stand-in, from which an engine loads weights.
+  bool checksFence = true;    ///< Whether an engine rejects orders with an outdated fencing token.
+  long memoryMb = 80'000;     ///< Accelerator memory of an engine.
+  int slots = 16;             ///< Maximum number of requests that an engine runs at the same time.
+  int tokenMs = 5;            ///< Time that an engine takes for a token.
+  int writesPerSecond = 400;  ///< Maximum rate of table transactions.
+  int readsPerSecond = 2'000; ///< Maximum rate of table reads.
+  int storeMbPerSecond = 20'000; ///< Speed of a load from the weight store at full speed.
+  int storeSlots = 4; ///< Number of concurrent loads that the weight store serves at full speed.
+  int hostLagMs = 0;  ///< Delay after which a change of the host list becomes visible.
 };
 
-/* Faults that POST /admin/fault switches on: a name and a number, 0 for off. */
+/* Faults that POST /admin/fault sets. Each has a name and a number, and 0 switches it off. The
+ * number is a parameter of the fault, or says how many more times it occurs. */
 class Faults
 {
 public:
@@ -47,7 +49,7 @@
     const auto found = mValues.find(aName);
     return found == mValues.end() ? 0 : found->second;
   }
-  /* Takes one from a counted fault; false when none is left. */
+  /* Uses up one occurrence of a counted fault. Returns false if none is left. */
   bool Take(const std::string& aName)
   {
     const std::lock_guard lock(mMutex);
@@ -64,7 +66,7 @@
   std::map<std::string, long> mValues;
 };
 
-/* What happened, in order; tests judge by it. */
+/* Records what happened, in order. Tests read it with GET /journal. */
 class Journal
 {
 public:
@@ -87,20 +89,22 @@
   json mEntries = json::array();
 };
 
-/* A stand-in's server with its faults and its journal. */
+/* The HTTP server of a stand-in, with its faults and its journal. */
 struct Server
 {
   httplib::Server http;
   Faults faults;
   Journal journal;
 
-  /* Adds the calls for faults, journal and health. */
+  /* Adds the routes for faults, journal and health check. */
   void AddAdmin();
 };
 
-/* Answers and closes before the whole answer is out, as if the answer were lost. */
+/* Makes the server close the connection after the header, without the announced body, so that the
+ * caller gets no complete answer. */
 void LoseAnswer(httplib::Response& aResponse);
 
+/* Add the routes of a role to the server. */
 void AddPlatform(Server& aServer, const Options& aOptions);
 void AddEngine(Server& aServer, const Options& aOptions);
 void AddService(Server& aServer, const Options& aOptions);
