--- a/fuzz/parsers_fuzz.cpp
+++ b/fuzz/parsers_fuzz.cpp
@@ -1,5 +1,6 @@
-/* Feeds arbitrary bytes to everything that reads text from outside. The first byte picks the
- * reader; a crash, a leak or a time-out is a fault. */
+/* Fuzzes the parsers of configuration documents, settings, messages, table rows and event streams.
+ * The first byte of the input selects the parser. A crash, a memory leak or a timeout is a fault.
+ */
 #include "codec/json_codec.h"
 #include "config/configuration_document.h"
 #include "endpoint/sse_splitter.h"
@@ -13,7 +14,8 @@
 
 namespace {
 
-/* What has no errors must be usable: its parts refer to each other. */
+/* Aborts if a document is accepted with a model whose service does not exist, or is rejected
+ * without an error. */
 void ReadDocument(const std::string& aText)
 {
   const auto result = ParseConfiguration(aText, { 1 });
@@ -30,7 +32,7 @@
   }
 }
 
-/* Pieces of any size give the same events as the whole. */
+/* Aborts if a stream that arrives in pieces of 3 bytes gives other events than the whole stream. */
 void SplitEvents(const std::string& aText)
 {
   constexpr std::size_t kPiece = 3;
--- a/tools/lint.py
+++ b/tools/lint.py
@@ -1,4 +1,4 @@
-"""Runs clang-tidy over the given files, and skips those that passed unchanged before."""
+"""Runs clang-tidy on the given files, except those that passed and have not changed since."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def digest(source: str, shared: bytes) -> str:
-    """Identifies a source together with the headers it includes, the rules and the linter."""
+    """Returns a hash of a source, the headers it includes, the rules and the linter version."""
     rule = subprocess.run(
         ["g++", "-std=c++20", "-Isrc", "-I.", "-MM", source],
         capture_output=True,
--- a/tools/router_bench.cpp
+++ b/tools/router_bench.cpp
@@ -1,4 +1,5 @@
-/* Measures the router in given time: table writes of claims, retries and fairness. */
+/* Measures the router in virtual time: table writes for claims, retries at failing endpoints, and
+ * fairness between customers. */
 #include "tests/unit/router_world.h"
 
 #include <cmath>
@@ -12,6 +13,7 @@
 
 constexpr std::uint64_t kSeed = 20'261;
 
+/* Returns the latencies of the completed requests, sorted. */
 std::vector<Duration> LatenciesOf(const World& aWorld, const std::map<RequestId, TimePoint>& aAsked)
 {
   std::vector<Duration> latencies;
@@ -24,12 +26,15 @@
   return latencies;
 }
 
+/* Returns a percentile in milliseconds. */
 double Percentile(const std::vector<Duration>& aSorted, double aShare)
 {
   const auto index = static_cast<std::size_t>(aShare * static_cast<double>(aSorted.size() - 1));
   return aSorted.empty() ? 0.0 : std::chrono::duration<double, std::milli>(aSorted[index]).count();
 }
 
+/* Measures how many table transactions and rows the claim of a request costs, at several request
+ * rates. Queued claims share a transaction. */
 void MeasureClaims()
 {
   std::printf("claims/s  transactions/claim  rows/claim  p50 ms  p99 ms\n");
@@ -60,6 +65,7 @@
   }
 }
 
+/* Measures the attempts per request when endpoints fail, with and without retry budgets. */
 void MeasureRetries()
 {
   std::printf("failing  budget  attempts/request  answered\n");
@@ -92,7 +98,9 @@
   }
 }
 
-/* One model on one runner of 16 slots, 100 ms a request on average: 160 requests a second. */
+/* Measures the latencies of a small customer with 8 requests per second, alone and beside a large
+ * one with 1600. One model on one runner with 16 slots and 100 ms per request on average serves 160
+ * requests per second, so that the large customer sends 10 times the capacity. */
 void MeasureFairness()
 {
   std::printf("large customer  small p50 ms  small p99 ms  small refused  large answered\n");
