--- a/bench/arrivals.cpp
+++ b/bench/arrivals.cpp
@@ -53,7 +53,7 @@
 
 /* Returns the number by which idle times are divided: 0.4 at midnight and 1.6 at noon. Time 0 is
  * midnight. */
-double DailyRhythm(double aSeconds)
+double DailyLoadFactor(double aSeconds)
 {
   constexpr double kDay = 86'400;
   return 1.0 - 0.6 * std::cos(2 * std::numbers::pi * aSeconds / kDay);
@@ -84,35 +84,37 @@
   std::mt19937_64 random(aSeed);
   std::vector<Arrival> arrivals;
   const double length = std::chrono::duration<double>(aLength).count();
-  std::lognormal_distribution<double> idle(0, aDeployment.idleSigma);
-  std::normal_distribution<double> jitter(1.0, 0.05);
-  std::exponential_distribution<double> service(1.0 / kMeanRequestSeconds);
-  std::geometric_distribution<int> requests(1.0 / kMeanRequestsInSession);
-  std::exponential_distribution<double> gap(1.0 / 3.0);
+  std::lognormal_distribution<double> idleFactor(0, aDeployment.idleSigma);
+  std::normal_distribution<double> periodJitter(1.0, 0.05);
+  std::exponential_distribution<double> serviceSeconds(1.0 / kMeanRequestSeconds);
+  std::geometric_distribution<int> extraRequests(1.0 / kMeanRequestsInSession);
+  std::exponential_distribution<double> requestGap(1.0 / 3.0);
   std::uniform_real_distribution<double> uniform(0, 1);
-  std::uint32_t number = 0;
+  std::uint32_t nextIndex = 0;
   for (const auto& [id, model] : aDeployment.configuration.models) {
-    const std::uint32_t index = number++;
+    const std::uint32_t index = nextIndex++;
     const bool isPopular = index < kPopularModels;
     const bool isPeriodic = index >= kPopularModels && index < kPopularModels + kPeriodicModels;
     // The median idle time of a model is between a quarter and four times the common value.
-    const double scale = (isPopular ? kPopularIdleSeconds : aDeployment.medianIdleSeconds) *
-                         std::exp2(4 * uniform(random) - 2);
-    for (double at = scale * uniform(random); at < length;) {
-      const int count = 1 + requests(random);
-      double last = at;
-      const bool isAdapted = uniform(random) < 0.5;
-      for (int i = 0; i < count; ++i) {
+    const double medianSeconds = (isPopular ? kPopularIdleSeconds : aDeployment.medianIdleSeconds) *
+                                 std::exp2(4 * uniform(random) - 2);
+    for (double sessionStart = medianSeconds * uniform(random); sessionStart < length;) {
+      const int requestCount = 1 + extraRequests(random);
+      double requestTime = sessionStart;
+      const bool usesAdapter = uniform(random) < 0.5;
+      for (int i = 0; i < requestCount; ++i) {
         arrivals.push_back(
-          { .at = TimePoint{ Duration{ static_cast<Duration::rep>(last * 1e6) } },
-            .artifact = { id, isAdapted ? model.adapters.begin()->first : AdapterId{} },
-            .service = Duration{ static_cast<Duration::rep>(service(random) * 1e6) } + 50ms,
+          { .at = TimePoint{ Duration{ static_cast<Duration::rep>(requestTime * 1e6) } },
+            .artifact = { id, usesAdapter ? model.adapters.begin()->first : AdapterId{} },
+            .serviceTime =
+              Duration{ static_cast<Duration::rep>(serviceSeconds(random) * 1e6) } + 50ms,
             .isWakeUp = i == 0 });
-        last += gap(random);
+        requestTime += requestGap(random);
       }
-      const double pause = isPeriodic ? scale * std::max(0.5, jitter(random))
-                                      : scale * idle(random) / DailyRhythm(last);
-      at = last + std::max(15.0, pause);
+      const double idleSeconds =
+        isPeriodic ? medianSeconds * std::max(0.5, periodJitter(random))
+                   : medianSeconds * idleFactor(random) / DailyLoadFactor(requestTime);
+      sessionStart = requestTime + std::max(15.0, idleSeconds);
     }
   }
   std::sort(arrivals.begin(), arrivals.end(), [](const Arrival& aLeft, const Arrival& aRight) {
--- a/bench/arrivals.h
+++ b/bench/arrivals.h
@@ -29,8 +29,8 @@
 {
   TimePoint at{};
   Artifact artifact;
-  Duration service{};    ///< Time for which a replica runs the request.
-  bool isWakeUp = false; ///< Whether the request is the first one of its session.
+  Duration serviceTime{}; ///< Time for which a replica runs the request.
+  bool isWakeUp = false;  ///< Whether the request is the first one of its session.
 };
 
 constexpr std::uint32_t kRunners = 9; ///< Runners of each deployment.
--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -18,7 +18,7 @@
 using namespace rhubarbtrail;
 
 /* Size of a fleet, as far as a node stores it. */
-struct Fleet
+struct FleetSize
 {
   std::uint32_t members = 7;    ///< Daemons, including the measured one.
   std::uint32_t endpoints = 9;  ///< All endpoints, including the runners of the node's cell.
@@ -29,7 +29,7 @@
 };
 
 /* Processing time of one kind of event, in microseconds. */
-struct Cost
+struct EventCost
 {
   double meanUs = 0;
   double p99Us = 0;
@@ -38,7 +38,7 @@
 /* Returns the number of table reads that a daemon issues when it starts and when it wakes up 500 ms
  * later. The host list already has all daemons, but none has sent a heartbeat, and no read is
  * answered. */
-std::uint64_t ReadsAtStart(std::uint32_t aMembers, std::uint32_t aCells)
+std::uint64_t CountReadsAtStart(std::uint32_t aMembers, std::uint32_t aCells)
 {
   Node node({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "z0" },
@@ -75,7 +75,7 @@
 
 /* Number of loaded models on each runner. */
 constexpr std::uint32_t kReplicasPerRunner = 5;
-constexpr std::uint32_t kEvents = 2'000; ///< Measured events of a kind, at most.
+constexpr std::uint32_t kMaxEvents = 2'000; ///< Measured events of a kind, at most.
 
 std::size_t HeapBytes()
 {
@@ -84,12 +84,12 @@
 
 /* A node that holds the lease of one cell, and fakes for the table, the runners and the other
  * daemons. The first inventory orders, as many as there are runners, are answered at once. Later
- * ones are stored for Inventories(). */
-class Bench
+ * ones are stored for MeasureInventories(). */
+class NodeBenchmark
 {
 public:
-  explicit Bench(const Fleet& aFleet)
-    : mFleet(aFleet)
+  explicit NodeBenchmark(const FleetSize& aFleetSize)
+    : mFleetSize(aFleetSize)
     , mNode({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
               .zone = ZoneId{ "z0" },
               .settings = {},
@@ -101,99 +101,99 @@
     Apply(hosts);
     for (int second = 0; second < 3; ++second) {
       Advance(1s);
-      HearMembers();
+      ReceiveMemberHeartbeats();
       Apply(Wake{});
     }
   }
 
   /* Measures the arrival of requests for models with a known replica. The end of each attempt is
    * processed, too, but its time is not counted. */
-  Cost Requests()
+  EventCost MeasureRequests()
   {
     std::vector<double> costs;
-    for (std::uint32_t i = 0; i < kEvents; ++i) {
+    for (std::uint32_t i = 0; i < kMaxEvents; ++i) {
       const RequestId request{ "q" + std::to_string(i) };
       Advance(100us);
       const Event arrived = RequestArrived{ .request = request,
                                             .customer = CustomerId{ "c" },
                                             .service = ServiceId{ "cell" },
-                                            .artifact = { ModelOn(i % mFleet.runners, 0), {} },
+                                            .artifact = { ModelOn(i % mFleetSize.runners, 0), {} },
                                             .requestClass = ClassId{ "default" },
                                             .key = {},
                                             .fingerprint = {} };
-      costs.push_back(Time(arrived));
-      Time(AttemptEnded{ .request = request,
-                         .attempt = { 1 },
-                         .outcome = AttemptOutcome::kCompleted,
-                         .contentType = {},
-                         .answer = {} });
+      costs.push_back(MeasureEvent(arrived));
+      MeasureEvent(AttemptEnded{ .request = request,
+                                 .attempt = { 1 },
+                                 .outcome = AttemptOutcome::kCompleted,
+                                 .contentType = {},
+                                 .answer = {} });
     }
-    return CostOf(costs);
+    return Summarize(costs);
   }
 
   /* Measures demand messages of another daemon that report the use of a loaded model. */
-  Cost Demands()
+  EventCost MeasureDemands()
   {
     std::vector<double> costs;
-    for (std::uint32_t i = 0; i < kEvents; ++i) {
+    for (std::uint32_t i = 0; i < kMaxEvents; ++i) {
       Advance(100us);
-      costs.push_back(
-        Time(MessageReceived{ { DaemonId{ "d1" }, IncarnationId{ "1" } },
-                              { 1 },
-                              DemandMessage{ .cell = CellId{ "cell" },
-                                             .artifact = { ModelOn(i % mFleet.runners, 1), {} },
-                                             .startedSince = 1 } }));
+      costs.push_back(MeasureEvent(
+        MessageReceived{ { DaemonId{ "d1" }, IncarnationId{ "1" } },
+                         { 1 },
+                         DemandMessage{ .cell = CellId{ "cell" },
+                                        .artifact = { ModelOn(i % mFleetSize.runners, 1), {} },
+                                        .startedSince = 1 } }));
     }
-    return CostOf(costs);
+    return Summarize(costs);
   }
 
   /* Measures the results of inventory orders. When all have been answered, a wake-up makes the node
    * send new ones, which is not counted. */
-  Cost Inventories()
+  EventCost MeasureInventories()
   {
     std::vector<double> costs;
-    for (std::uint32_t i = 0; i < kEvents && !mInventories.empty(); ++i) {
+    for (std::uint32_t i = 0; i < kMaxEvents && !mPendingInventoryOrders.empty(); ++i) {
       Advance(1ms);
-      const SendOrder order = mInventories.back();
-      mInventories.pop_back();
-      costs.push_back(Time(ResultOf(order)));
-      if (mInventories.empty()) {
+      const SendOrder order = mPendingInventoryOrders.back();
+      mPendingInventoryOrders.pop_back();
+      costs.push_back(MeasureEvent(MakeInventoryResult(order)));
+      if (mPendingInventoryOrders.empty()) {
         Advance(2s);
-        HearMembers();
+        ReceiveMemberHeartbeats();
         Apply(Wake{});
       }
     }
-    return CostOf(costs);
+    return Summarize(costs);
   }
 
   /* Measures the wake-ups of a node that wakes up once a second: it sends heartbeats to the other
    * daemons and checks its cell. */
-  Cost Wakes()
+  EventCost MeasureWakes()
   {
     std::vector<double> costs;
     for (std::uint32_t i = 0; i < 50; ++i) {
       Advance(1s);
-      costs.push_back(Time(Wake{}));
-      HearMembers();
+      costs.push_back(MeasureEvent(Wake{}));
+      ReceiveMemberHeartbeats();
     }
-    return CostOf(costs);
+    return Summarize(costs);
   }
 
   /* Returns the number of heartbeat messages that the node sends in one second, including the
    * replies to the heartbeats of the other daemons. */
-  std::uint64_t HeartbeatsPerSecond()
+  std::uint64_t CountHeartbeatsPerSecond()
   {
     Advance(1s);
-    mHeartbeats = 0;
+    mHeartbeatsSent = 0;
     Apply(Wake{});
-    for (std::uint32_t i = 1; i < mFleet.members; ++i) {
+    for (std::uint32_t i = 1; i < mFleetSize.members; ++i) {
       Apply(HeartbeatFrom(i));
     }
-    return mHeartbeats;
+    return mHeartbeatsSent;
   }
 
 private:
-  static Cost CostOf(std::vector<double> aCosts)
+  static EventCost Summarize(std::vector<double> aCosts)
   {
     if (aCosts.empty()) {
       return {};
@@ -210,12 +210,13 @@
 
   ModelId ModelOn(std::uint32_t aRunner, std::uint32_t aSlot) const
   {
-    return ModelId{ "m" + std::to_string((aRunner * kReplicasPerRunner + aSlot) % mFleet.models) };
+    return ModelId{ "m" +
+                    std::to_string((aRunner * kReplicasPerRunner + aSlot) % mFleetSize.models) };
   }
 
-  std::string OtherCell(std::uint32_t aNumber) const
+  std::string OtherCellName(std::uint32_t aNumber) const
   {
-    return "other" + std::to_string(aNumber % std::max(1U, mFleet.otherCells));
+    return "other" + std::to_string(aNumber % std::max(1U, mFleetSize.otherCells));
   }
 
   std::shared_ptr<const Configuration> MakeConfiguration() const
@@ -225,8 +226,8 @@
     ServiceSpec service{ .id = ServiceId{ "cell" }, .routes = {} };
     service.keepAlive = CostAwareKeepAlive{};
     configuration->services[service.id] = service;
-    for (std::uint32_t i = 0; i < mFleet.otherCells; ++i) {
-      service.id = ServiceId{ OtherCell(i) };
+    for (std::uint32_t i = 0; i < mFleetSize.otherCells; ++i) {
+      service.id = ServiceId{ OtherCellName(i) };
       configuration->services[service.id] = service;
     }
     service.id = ServiceId{ "cell" };
@@ -234,14 +235,14 @@
     CustomerSpec customer{ .id = CustomerId{ "c" }, .keyHashes = {}, .models = {}, .services = {} };
     customer.allModels = true;
     configuration->customers[customer.id] = customer;
-    for (std::uint32_t i = 0; i < mFleet.models; ++i) {
+    for (std::uint32_t i = 0; i < mFleetSize.models; ++i) {
       ModelSpec model{ .id = ModelId{ "m" + std::to_string(i) }, .service = service.id };
       model.memory = { 8'000 };
       configuration->models[model.id] = model;
     }
-    for (std::uint32_t i = 0; i < mFleet.adapters; ++i) {
+    for (std::uint32_t i = 0; i < mFleetSize.adapters; ++i) {
       const AdapterId id{ "a" + std::to_string(i) };
-      configuration->models[ModelId{ "m" + std::to_string(i % mFleet.models) }].adapters[id] = {
+      configuration->models[ModelId{ "m" + std::to_string(i % mFleetSize.models) }].adapters[id] = {
         .id = id, .memory = { 100 }
       };
     }
@@ -251,7 +252,7 @@
   HostListReceived MakeHosts() const
   {
     HostListReceived hosts;
-    for (std::uint32_t i = 0; i < mFleet.members; ++i) {
+    for (std::uint32_t i = 0; i < mFleetSize.members; ++i) {
       hosts.hosts.push_back({ .kind = HostKind::kDaemon,
                               .id = "d" + std::to_string(i),
                               .bootId = {},
@@ -259,19 +260,19 @@
                               .zone = ZoneId{ "z" + std::to_string(i % 26) },
                               .address = "10.0.0.1:7000" });
     }
-    for (std::uint32_t i = 0; i < mFleet.endpoints; ++i) {
-      const bool isOurs = i < mFleet.runners;
+    for (std::uint32_t i = 0; i < mFleetSize.endpoints; ++i) {
+      const bool isInHeldCell = i < mFleetSize.runners;
       hosts.hosts.push_back({ .kind = HostKind::kEndpoint,
                               .id = "r" + std::to_string(i),
                               .bootId = "b",
-                              .service = ServiceId{ isOurs ? "cell" : OtherCell(i) },
+                              .service = ServiceId{ isInHeldCell ? "cell" : OtherCellName(i) },
                               .zone = ZoneId{ "z" + std::to_string(i % 26) },
                               .address = "10.0.1.1:8000" });
     }
     return hosts;
   }
 
-  OrderResult ResultOf(const SendOrder& aOrder) const
+  OrderResult MakeInventoryResult(const SendOrder& aOrder) const
   {
     OrderResult result{ .cell = aOrder.cell,
                         .runner = aOrder.runner,
@@ -293,27 +294,27 @@
              HeartbeatMessage{ { 1 }, false } };
   }
 
-  void HearMembers()
+  void ReceiveMemberHeartbeats()
   {
-    for (std::uint32_t i = 1; i < mFleet.members; ++i) {
+    for (std::uint32_t i = 1; i < mFleetSize.members; ++i) {
       Apply(HeartbeatFrom(i));
     }
   }
 
-  double Time(const Event& aEvent)
+  double MeasureEvent(const Event& aEvent)
   {
     const auto start = std::chrono::steady_clock::now();
     std::vector<Action> actions = mNode.Apply(mNow, aEvent);
     const auto end = std::chrono::steady_clock::now();
-    Answer(actions);
+    HandleActions(actions);
     return std::chrono::duration<double, std::micro>(end - start).count();
   }
 
-  void Apply(const Event& aEvent) { Answer(mNode.Apply(mNow, aEvent)); }
+  void Apply(const Event& aEvent) { HandleActions(mNode.Apply(mNow, aEvent)); }
 
   /* Answers the table calls and demands of the node, and delivers its messages to itself. Answers
    * the first inventory orders, as many as there are runners, and stores the later ones. */
-  void Answer(const std::vector<Action>& aActions)
+  void HandleActions(const std::vector<Action>& aActions)
   {
     for (const Action& action : aActions) {
       if (const auto* read = std::get_if<TableRead>(&action)) {
@@ -322,7 +323,7 @@
           // Another daemon, d1, holds the lease of each other cell.
           Row row{ .key = key, .version = {}, .value = {} };
           if (key.str().starts_with("cell/other")) {
-            row.version = { ++mVersion };
+            row.version = { ++mLastRowVersion };
             row.value = CellLeaseRow{ .holder = { DaemonId{ "d1" }, IncarnationId{ "1" } } };
           }
           result.rows.push_back(row);
@@ -331,21 +332,21 @@
       } else if (const auto* write = std::get_if<TableTransaction>(&action)) {
         TransactionResult result{ .change = write->change, .rows = {} };
         for (const RowWrite& row : write->writes) {
-          result.rows.push_back({ row.key, { ++mVersion }, row.value });
+          result.rows.push_back({ row.key, { ++mLastRowVersion }, row.value });
         }
         Apply(result);
       } else if (const auto* order = std::get_if<SendOrder>(&action)) {
         if (order->kind != OrderKind::kInventory) {
           continue;
         }
-        if (mAnswered < mFleet.runners) {
-          ++mAnswered;
-          Apply(ResultOf(*order));
+        if (mAnsweredInventoryOrders < mFleetSize.runners) {
+          ++mAnsweredInventoryOrders;
+          Apply(MakeInventoryResult(*order));
         } else {
-          mInventories.push_back(*order);
+          mPendingInventoryOrders.push_back(*order);
         }
       } else if (const auto* message = std::get_if<SendMessage>(&action)) {
-        mHeartbeats += std::holds_alternative<HeartbeatMessage>(message->message) ? 1 : 0;
+        mHeartbeatsSent += std::holds_alternative<HeartbeatMessage>(message->message) ? 1 : 0;
         const auto* demand = std::get_if<DemandMessage>(&message->message);
         if (demand != nullptr && message->to != DaemonId{ "d0" }) {
           Apply(MessageReceived{ { message->to, IncarnationId{ "1" } },
@@ -363,31 +364,31 @@
     }
   }
 
-  Fleet mFleet;
+  FleetSize mFleetSize;
   Node mNode;
   TimePoint mNow{ 1h };
-  std::uint64_t mVersion = 0;
-  std::uint32_t mAnswered = 0;
-  std::uint64_t mHeartbeats = 0;
-  std::vector<SendOrder> mInventories;
+  std::uint64_t mLastRowVersion = 0;
+  std::uint32_t mAnsweredInventoryOrders = 0;
+  std::uint64_t mHeartbeatsSent = 0;
+  std::vector<SendOrder> mPendingInventoryOrders;
 };
 
-void PrintRow(const char* aName, const Fleet& aFleet)
+void PrintRow(const char* aName, const FleetSize& aFleetSize)
 {
   const std::size_t before = HeapBytes();
-  Bench bench(aFleet);
+  NodeBenchmark bench(aFleetSize);
   const double heapMb = static_cast<double>(HeapBytes() - before) / 1e6;
-  const Cost request = bench.Requests();
-  const Cost demand = bench.Demands();
-  const Cost inventory = bench.Inventories();
-  const Cost wake = bench.Wakes();
-  const auto heartbeats = bench.HeartbeatsPerSecond();
+  const EventCost request = bench.MeasureRequests();
+  const EventCost demand = bench.MeasureDemands();
+  const EventCost inventory = bench.MeasureInventories();
+  const EventCost wake = bench.MeasureWakes();
+  const auto heartbeats = bench.CountHeartbeatsPerSecond();
   std::printf("%-22s %7u %9u %7u %6u %7.2f %7.2f %7.2f %7.2f %8.1f %8.1f %9.1f %8lu %7.2f\n",
               aName,
-              aFleet.members,
-              aFleet.endpoints,
-              aFleet.runners,
-              aFleet.models,
+              aFleetSize.members,
+              aFleetSize.endpoints,
+              aFleetSize.runners,
+              aFleetSize.models,
               request.meanUs,
               request.p99Us,
               demand.meanUs,
@@ -420,7 +421,7 @@
               "wake us",
               "beats/s",
               "MB");
-  const Fleet today{};
+  const FleetSize today{};
   PrintRow("today", today);
   PrintRow("members 100", { 100, 9, 9, 50, 56 });
   PrintRow("members 1100", { 1'100, 9, 9, 50, 56 });
@@ -438,6 +439,6 @@
                             .message = HeartbeatMessage{ { 8'200 }, false } };
   std::printf("heartbeat: %zu bytes encoded\n", EncodeEnvelope(heartbeat).size());
   std::printf("table reads of one daemon in its first second, 1100 starting at once: %lu\n",
-              static_cast<unsigned long>(ReadsAtStart(1'100, 157)));
+              static_cast<unsigned long>(CountReadsAtStart(1'100, 157)));
   return 0;
 }
--- a/bench/latency.cpp
+++ b/bench/latency.cpp
@@ -43,13 +43,14 @@
   nlohmann::json Summary()
   {
     std::sort(mValues.begin(), mValues.end());
-    const auto at = [this](double aShare) {
+    const auto percentile = [this](double aShare) {
       return mValues.empty() ? 0.0
                              : mValues[static_cast<std::size_t>(
                                  aShare * static_cast<double>(mValues.size() - 1))];
     };
-    return { { "count", mValues.size() }, { "failures", mFailures.load() }, { "p50_us", at(0.5) },
-             { "p90_us", at(0.9) },       { "p99_us", at(0.99) },           { "max_us", at(1.0) } };
+    return { { "count", mValues.size() },    { "failures", mFailures.load() },
+             { "p50_us", percentile(0.5) },  { "p90_us", percentile(0.9) },
+             { "p99_us", percentile(0.99) }, { "max_us", percentile(1.0) } };
   }
 
 private:
@@ -58,7 +59,7 @@
   std::atomic<int> mFailures{ 0 };
 };
 
-void Send(httplib::Client& aClient, const Options& aOptions, Latencies& aOut)
+void Send(httplib::Client& aClient, const Options& aOptions, Latencies& aLatencies)
 {
   const std::string body = nlohmann::json{
     { "model", aOptions.model },
@@ -69,38 +70,38 @@
   const auto started = Clock::now();
   const auto result = aClient.Post("/v1/chat/completions", headers, body, "application/json");
   if (result && result->status == 200) {
-    aOut.Add(Clock::now() - started);
+    aLatencies.Add(Clock::now() - started);
   } else {
-    aOut.AddFailure();
+    aLatencies.AddFailure();
   }
 }
 
 /* Sends requests on one path. Each thread has one connection and takes the next send time of a
  * schedule that all threads share. The latency of a request counts from its sending, which is after
  * its send time if all threads were busy then. */
-void Load(const Options& aOptions, const std::string& aAddress, Latencies& aOut)
+void SendRequests(const Options& aOptions, const std::string& aAddress, Latencies& aLatencies)
 {
   const auto start = Clock::now() + std::chrono::milliseconds{ 200 };
   const auto end = start + std::chrono::seconds{ aOptions.seconds };
-  std::atomic<int> turn{ 0 };
-  const auto work = [&] {
+  std::atomic<int> nextSendIndex{ 0 };
+  const auto sendOnSchedule = [&] {
     httplib::Client client("http://" + aAddress);
     client.set_keep_alive(true);
     client.set_tcp_nodelay(true);
     while (true) {
-      const auto due = aOptions.rate == 0
-                         ? Clock::now()
-                         : start + std::chrono::seconds{ 1 } * turn++ / aOptions.rate;
-      if (due >= end) {
+      const auto sendTime = aOptions.rate == 0
+                              ? Clock::now()
+                              : start + std::chrono::seconds{ 1 } * nextSendIndex++ / aOptions.rate;
+      if (sendTime >= end) {
         return;
       }
-      std::this_thread::sleep_until(due);
-      Send(client, aOptions, aOut);
+      std::this_thread::sleep_until(sendTime);
+      Send(client, aOptions, aLatencies);
     }
   };
   std::vector<std::thread> threads;
   for (int index = 0; index < aOptions.threads; ++index) {
-    threads.emplace_back(work);
+    threads.emplace_back(sendOnSchedule);
   }
   for (std::thread& thread : threads) {
     thread.join();
@@ -127,13 +128,13 @@
 
   Latencies direct;
   Latencies daemon;
-  std::thread other;
+  std::thread directThread;
   if (!options.direct.empty()) {
-    other = std::thread([&] { Load(options, options.direct, direct); });
+    directThread = std::thread([&] { SendRequests(options, options.direct, direct); });
   }
-  Load(options, options.daemon, daemon);
-  if (other.joinable()) {
-    other.join();
+  SendRequests(options, options.daemon, daemon);
+  if (directThread.joinable()) {
+    directThread.join();
   }
   std::cout << nlohmann::json{
     { "direct", direct.Summary() }, { "daemon", daemon.Summary() }
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -41,9 +41,9 @@
                 f"{row[quantile]:7.0f}" for quantile in ("p50_us", "p90_us", "p99_us", "max_us")))
         for quantile in ("p50_us", "p99_us"):
             print(f"added {quantile}: {paths['daemon'][quantile] - paths['direct'][quantile]:.0f}")
-        whole = measure(daemon, "--rate", "0", "--seconds", "5", "--threads", "32")["daemon"]
-        print(f"requests a second, 32 connections: {whole['count'] / 5:.0f}, "
-              f"{whole['failures']} failed")
+        saturated = measure(daemon, "--rate", "0", "--seconds", "5", "--threads", "32")["daemon"]
+        print(f"requests a second, 32 connections: {saturated['count'] / 5:.0f}, "
+              f"{saturated['failures']} failed")
         before = resident_kb(daemon)
         idle = [socket.create_connection(daemon.addresses["caller"].split(":"))
                 for _ in range(CONNECTIONS)]
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,7 +1,7 @@
 /* Compares keep-alive policies of the decision library in simulations with generated arrivals and
  * virtual time. Prints a table of medians over the seeds, and writes all runs to a JSON file if one
  * is given. */
-#include "bench/cell_world.h"
+#include "bench/simulated_cell.h"
 
 #include <CLI/CLI.hpp>
 #include <nlohmann/json.hpp>
@@ -34,7 +34,7 @@
   std::string policy;
   std::uint64_t seed = 0;
   Candidate candidate;
-  Outcome outcome;
+  RunResult result;
 };
 
 /* Returns the value at the share aShare of the sorted values, with the rank rounded down. Returns 0
@@ -51,27 +51,27 @@
 
 json ToJson(const Run& aRun)
 {
-  const Outcome& outcome = aRun.outcome;
+  const RunResult& result = aRun.result;
   json refusals = json::object();
-  for (const auto& [code, count] : outcome.refusals) {
+  for (const auto& [code, count] : result.refusals) {
     refusals[std::to_string(static_cast<int>(code))] = count;
   }
   return { { "deployment", aRun.deployment },
            { "policy", aRun.policy },
            { "seed", aRun.seed },
-           { "p50_s", Percentile(outcome.wakeUpSeconds, 0.50) },
-           { "p95_s", Percentile(outcome.wakeUpSeconds, 0.95) },
-           { "p99_s", Percentile(outcome.wakeUpSeconds, 0.99) },
-           { "idle_hours", outcome.idleAcceleratorHours },
-           { "wake_ups", outcome.wakeUpSeconds.size() },
-           { "cold", outcome.coldWakeUps },
-           { "requests", outcome.requests },
-           { "loads", outcome.loads },
-           { "store_loads", outcome.storeLoads },
-           { "wasted", outcome.wastedLoads },
+           { "p50_s", Percentile(result.wakeUpWaitSeconds, 0.50) },
+           { "p95_s", Percentile(result.wakeUpWaitSeconds, 0.95) },
+           { "p99_s", Percentile(result.wakeUpWaitSeconds, 0.99) },
+           { "idle_hours", result.idleAcceleratorHours },
+           { "wake_ups", result.wakeUpWaitSeconds.size() },
+           { "cold", result.coldWakeUps },
+           { "requests", result.requests },
+           { "loads", result.loads },
+           { "store_loads", result.storeLoads },
+           { "wasted", result.wastedLoads },
            { "refused",
-             std::accumulate(outcome.refusals.begin(),
-                             outcome.refusals.end(),
+             std::accumulate(result.refusals.begin(),
+                             result.refusals.end(),
                              std::uint64_t{ 0 },
                              [](auto aSum, const auto& aItem) { return aSum + aItem.second; }) },
            { "refusals", refusals } };
@@ -132,8 +132,8 @@
   double hours = 24;
   double warmUpHours = 4;
   unsigned threads = 2;
-  std::vector<double> weights{ 0.02, 0.05, 0.1, 0.2, 0.5, 1.0 };
-  std::string out;
+  std::vector<double> coldStartWeights{ 0.02, 0.05, 0.1, 0.2, 0.5, 1.0 };
+  std::string jsonFile;
   app.add_option(
     "--seeds", seeds, "Seeds of the arrivals; one run of each policy and deployment per seed.");
   app.add_option("--hours", hours, "Simulated hours of each run, including the warm-up.");
@@ -141,14 +141,14 @@
     "--warm-up-hours", warmUpHours, "Hours at the start of each run that are not counted.");
   app.add_option("--threads", threads, "Number of runs at the same time.");
   app.add_option(
-    "--weights", weights, "Cold-start weights with which the cost-aware policy is run.");
-  app.add_option("--json", out, "File to which all runs are written as JSON.");
+    "--weights", coldStartWeights, "Cold-start weights with which the cost-aware policy is run.");
+  app.add_option("--json", jsonFile, "File to which all runs are written as JSON.");
   CLI11_PARSE(app, aArgc, aArgv);
 
   std::vector<Candidate> candidates{ { "baseline", FixedKeepAlive{}, CheckpointReport::kNone },
                                      { "fixed 60 s", FixedKeepAlive{} },
                                      { "histogram p90", HistogramKeepAlive{} } };
-  for (const double weight : weights) {
+  for (const double weight : coldStartWeights) {
     char name[32];
     std::snprintf(name, sizeof name, "cost-aware %g", weight);
     candidates.push_back({ name, CostAwareKeepAlive{ weight } });
@@ -165,21 +165,21 @@
     std::chrono::duration_cast<Duration>(std::chrono::duration<double>(hours * 3'600));
   const auto warmUp =
     std::chrono::duration_cast<Duration>(std::chrono::duration<double>(warmUpHours * 3'600));
-  std::atomic<std::size_t> next = 0;
-  const auto work = [&] {
-    for (std::size_t i = next++; i < runs.size(); i = next++) {
+  std::atomic<std::size_t> nextRun = 0;
+  const auto runSimulations = [&] {
+    for (std::size_t i = nextRun++; i < runs.size(); i = nextRun++) {
       Run& run = runs[i];
       const Deployment deployment = run.deployment == "nominas"
                                       ? NominasDeployment(run.candidate.policy)
                                       : LannaWingsDeployment(run.candidate.policy);
       const auto arrivals = GenerateArrivals(deployment, run.seed, length);
-      run.outcome = CellWorld(deployment, warmUp, run.candidate.report).Run(arrivals, length);
+      run.result = SimulatedCell(deployment, warmUp, run.candidate.report).Run(arrivals, length);
     }
   };
   {
-    std::vector<std::jthread> pool;
+    std::vector<std::jthread> workers;
     for (unsigned i = 0; i < threads; ++i) {
-      pool.emplace_back(work);
+      workers.emplace_back(runSimulations);
     }
   }
   std::vector<json> results;
@@ -190,8 +190,8 @@
   std::printf("; %g h each, the first %g h not counted; medians\n", hours, warmUpHours);
   std::transform(runs.begin(), runs.end(), std::back_inserter(results), ToJson);
   PrintTable(results);
-  if (!out.empty()) {
-    std::ofstream(out) << json(results).dump(1) << '\n';
+  if (!jsonFile.empty()) {
+    std::ofstream(jsonFile) << json(results).dump(1) << '\n';
   }
   return 0;
 }
--- a/bench/cell_world.cpp
+++ b/bench/simulated_cell.cpp
@@ -1,5 +1,5 @@
 /* Simulates the runners, the weight store and the table for one node. */
-#include "bench/cell_world.h"
+#include "bench/simulated_cell.h"
 
 #include <algorithm>
 
@@ -7,43 +7,45 @@
 
 namespace {
 
-constexpr Duration kTableDelay = 5ms;   ///< Time of a table call.
-constexpr Duration kOrderDelay = 2ms;   ///< Time from an order to the runner's first answer.
-constexpr Duration kMessageDelay = 1ms; ///< Delay of a message, and of a refused attempt.
-constexpr Duration kAdapterLoad = 10ms; ///< Time to load an adapter.
+constexpr Duration kTableCallTime = 5ms;    ///< Time of a table call.
+constexpr Duration kOrderAnswerDelay = 2ms; ///< Time from an order to the runner's first answer.
+constexpr Duration kMessageDelay = 1ms;     ///< Delay of a message, and of a refused attempt.
+constexpr Duration kAdapterLoadTime = 10ms; ///< Time to load an adapter.
 /* Number of concurrent loads that the weight store serves at full speed. With n loads in progress,
  * including the new one, the new one takes n divided by this number times as long, if that is more
  * than 1. */
-constexpr std::uint32_t kStoreFullSpeed = 4;
+constexpr std::uint32_t kStoreLoadsAtFullSpeed = 4;
 /* Maximum number of checkpoints that a runner's host keeps in memory. */
 constexpr std::size_t kCachedCheckpoints = 3;
 /* Time of a load from host memory, as a fraction of the model's expected load time. */
-constexpr double kCachedLoadShare = 0.2;
+constexpr double kCachedLoadTimeFactor = 0.2;
 
 const ServiceId kService{ "models" };
 
 } // namespace
 
-CellWorld::CellWorld(const Deployment& aDeployment, Duration aWarmUp, CheckpointReport aReport)
+SimulatedCell::SimulatedCell(const Deployment& aDeployment,
+                             Duration aWarmUp,
+                             CheckpointReport aCheckpointReport)
   : mConfiguration(aDeployment.configuration)
-  , mReport(aReport)
+  , mCheckpointReport(aCheckpointReport)
   , mNode({ .self = { DaemonId{ "d0" }, IncarnationId{ "1" } },
             .zone = ZoneId{ "a" },
             .settings = {},
             .disabled = {} })
-  , mMeasureFrom(TimePoint{} + aWarmUp)
+  , mWarmUpEnd(TimePoint{} + aWarmUp)
 {
   for (std::uint32_t i = 0; i < kRunners; ++i) {
     mRunners[EndpointId{ "r" + std::to_string(i) }];
   }
 }
 
-void CellWorld::At(TimePoint aTime, std::function<void()> aStep)
+void SimulatedCell::Schedule(TimePoint aTime, std::function<void()> aCallback)
 {
-  mSteps.emplace(aTime, std::move(aStep));
+  mCallbacks.emplace(aTime, std::move(aCallback));
 }
 
-Outcome CellWorld::Run(const std::vector<Arrival>& aArrivals, Duration aLength)
+RunResult SimulatedCell::Run(const std::vector<Arrival>& aArrivals, Duration aLength)
 {
   HostListReceived hosts;
   for (const auto& [id, runner] : mRunners) {
@@ -62,23 +64,24 @@
   auto arrival = aArrivals.begin();
   while (true) {
     const TimePoint nextArrival = arrival == aArrivals.end() ? TimePoint::max() : arrival->at;
-    const TimePoint nextStep = mSteps.empty() ? TimePoint::max() : mSteps.begin()->first;
-    const TimePoint next = std::min({ nextArrival, nextStep, mWake });
+    const TimePoint nextCallback =
+      mCallbacks.empty() ? TimePoint::max() : mCallbacks.begin()->first;
+    const TimePoint next = std::min({ nextArrival, nextCallback, mNextWakeAt });
     if (next > end) {
       break;
     }
     mNow = next;
-    Account();
-    if (nextStep == next) {
-      const auto step = std::move(mSteps.begin()->second);
-      mSteps.erase(mSteps.begin());
-      step();
+    AddIdleMemory();
+    if (nextCallback == next) {
+      const auto callback = std::move(mCallbacks.begin()->second);
+      mCallbacks.erase(mCallbacks.begin());
+      callback();
     } else if (nextArrival == next) {
-      const RequestId request{ std::to_string(++mNextRequest) };
-      mPending[request] = { .arrival = *arrival, .runner = {} };
-      if (IsMeasured()) {
-        ++mOutcome.requests;
-        mOutcome.coldWakeUps += arrival->isWakeUp && !IsReady(arrival->artifact) ? 1 : 0;
+      const RequestId request{ std::to_string(++mLastRequestNumber) };
+      mPendingRequests[request] = { .arrival = *arrival, .runner = {} };
+      if (IsWarmUpOver()) {
+        ++mResult.requests;
+        mResult.coldWakeUps += arrival->isWakeUp && !IsModelReady(arrival->artifact) ? 1 : 0;
       }
       Apply(RequestArrived{ .request = request,
                             .customer = CustomerId{ "c" },
@@ -89,14 +92,14 @@
                             .fingerprint = FingerprintId{ request.str() } });
       ++arrival;
     } else {
-      mWake = TimePoint::max();
+      mNextWakeAt = TimePoint::max();
       Apply(Wake{});
     }
   }
-  return std::move(mOutcome);
+  return std::move(mResult);
 }
 
-void CellWorld::Apply(const Event& aEvent)
+void SimulatedCell::Apply(const Event& aEvent)
 {
   for (const Action& action : mNode.Apply(mNow, aEvent)) {
     std::visit([this](const auto& aAction) { Handle(aAction); }, action);
@@ -104,10 +107,10 @@
 }
 
 /* Adds the memory that was idle since the previous event to the result, except for the warm-up. */
-void CellWorld::Account()
+void SimulatedCell::AddIdleMemory()
 {
-  const TimePoint from = std::max(mAccountedTo, mMeasureFrom);
-  mAccountedTo = mNow;
+  const TimePoint from = std::max(mIdleMemoryAddedUntil, mWarmUpEnd);
+  mIdleMemoryAddedUntil = mNow;
   if (mNow <= from) {
     return;
   }
@@ -119,11 +122,11 @@
   }
   const double runnerMemory =
     static_cast<double>(mConfiguration.services.at(kService).runnerMemory.value);
-  mOutcome.idleAcceleratorHours += static_cast<double>(idle) / runnerMemory *
-                                   std::chrono::duration<double>(mNow - from).count() / 3'600;
+  mResult.idleAcceleratorHours += static_cast<double>(idle) / runnerMemory *
+                                  std::chrono::duration<double>(mNow - from).count() / 3'600;
 }
 
-bool CellWorld::IsReady(const Artifact& aArtifact) const
+bool SimulatedCell::IsModelReady(const Artifact& aArtifact) const
 {
   return std::any_of(mRunners.begin(), mRunners.end(), [&](const auto& aItem) {
     const auto found = aItem.second.models.find(aArtifact.model);
@@ -131,10 +134,10 @@
   });
 }
 
-void CellWorld::Handle(const StartAttempt& aAction)
+void SimulatedCell::Handle(const StartAttempt& aAction)
 {
-  Pending& pending = mPending.at(aAction.request);
-  FakeRunner& runner = mRunners.at(aAction.endpoint);
+  PendingRequest& pending = mPendingRequests.at(aAction.request);
+  SimulatedRunner& runner = mRunners.at(aAction.endpoint);
   const auto found = runner.models.find(pending.arrival.artifact.model);
   AttemptEnded ended{ .request = aAction.request,
                       .attempt = aAction.attempt,
@@ -142,11 +145,11 @@
                       .contentType = {},
                       .answer = {} };
   if (found == runner.models.end() || !found->second.ready) {
-    At(mNow + kMessageDelay, [this, ended] { Apply(ended); });
+    Schedule(mNow + kMessageDelay, [this, ended] { Apply(ended); });
     return;
   }
-  if (!pending.isStarted && pending.arrival.isWakeUp && pending.arrival.at >= mMeasureFrom) {
-    mOutcome.wakeUpSeconds.push_back(
+  if (!pending.isStarted && pending.arrival.isWakeUp && pending.arrival.at >= mWarmUpEnd) {
+    mResult.wakeUpWaitSeconds.push_back(
       std::chrono::duration<double>(mNow - pending.arrival.at).count());
   }
   pending.isStarted = true;
@@ -154,30 +157,31 @@
   ++found->second.inFlight;
   ++found->second.served;
   ended.outcome = AttemptOutcome::kCompleted;
-  At(mNow + pending.arrival.service, [this, ended, model = found->first, id = aAction.endpoint] {
-    --mRunners.at(id).models.at(model).inFlight;
-    Apply(ended);
-  });
+  Schedule(mNow + pending.arrival.serviceTime,
+           [this, ended, model = found->first, id = aAction.endpoint] {
+             --mRunners.at(id).models.at(model).inFlight;
+             Apply(ended);
+           });
 }
 
-void CellWorld::Handle(const FinishRequest& aAction)
+void SimulatedCell::Handle(const FinishRequest& aAction)
 {
-  if (aAction.code != ResultCode::kOk && IsMeasured()) {
-    ++mOutcome.refusals[aAction.code];
+  if (aAction.code != ResultCode::kOk && IsWarmUpOver()) {
+    ++mResult.refusals[aAction.code];
   }
-  const auto found = mPending.find(aAction.request);
-  if (found == mPending.end()) {
+  const auto found = mPendingRequests.find(aAction.request);
+  if (found == mPendingRequests.end()) {
     return;
   }
-  if (aAction.code != ResultCode::kOk && found->second.arrival.isWakeUp && IsMeasured()) {
+  if (aAction.code != ResultCode::kOk && found->second.arrival.isWakeUp && IsWarmUpOver()) {
     // The time until the refusal is only a lower bound of the wait, because the request was never
     // served. It counts with its whole deadline of 120 s.
-    mOutcome.wakeUpSeconds.push_back(std::chrono::duration<double>(120s).count());
+    mResult.wakeUpWaitSeconds.push_back(std::chrono::duration<double>(120s).count());
   }
-  mPending.erase(found);
+  mPendingRequests.erase(found);
 }
 
-void CellWorld::Handle(const TableTransaction& aAction)
+void SimulatedCell::Handle(const TableTransaction& aAction)
 {
   TransactionResult result{ .change = aAction.change, .rows = {} };
   for (const RowCondition& condition : aAction.conditions) {
@@ -194,10 +198,10 @@
     }
     result.rows.push_back(row);
   }
-  At(mNow + kTableDelay, [this, result] { Apply(result); });
+  Schedule(mNow + kTableCallTime, [this, result] { Apply(result); });
 }
 
-void CellWorld::Handle(const TableRead& aAction)
+void SimulatedCell::Handle(const TableRead& aAction)
 {
   ReadResult result{ .read = aAction.read, .ok = true, .rows = {} };
   for (const RowKey& key : aAction.keys) {
@@ -205,28 +209,28 @@
     result.rows.push_back(found == mTable.end() ? Row{ .key = key, .version = {}, .value = {} }
                                                 : found->second);
   }
-  At(mNow + kTableDelay, [this, result] { Apply(result); });
+  Schedule(mNow + kTableCallTime, [this, result] { Apply(result); });
 }
 
-void CellWorld::Handle(const SendMessage& aAction)
+void SimulatedCell::Handle(const SendMessage& aAction)
 {
-  At(mNow + kMessageDelay, [this, message = aAction.message] {
+  Schedule(mNow + kMessageDelay, [this, message = aAction.message] {
     Apply(MessageReceived{ { DaemonId{ "d0" }, IncarnationId{ "1" } }, { 1 }, message });
   });
 }
 
-void CellWorld::Handle(const WakeAt& aAction)
+void SimulatedCell::Handle(const WakeAt& aAction)
 {
-  mWake = std::max(aAction.time, mNow);
+  mNextWakeAt = std::max(aAction.time, mNow);
 }
 
-Inventory CellWorld::InventoryOf(const FakeRunner& aRunner) const
+Inventory SimulatedCell::InventoryOf(const SimulatedRunner& aRunner) const
 {
   Inventory inventory{ .bootId = "boot",
                        .memory = mConfiguration.services.at(kService).runnerMemory,
                        .models = {},
                        .checkpoints = {} };
-  if (mReport == CheckpointReport::kListed) {
+  if (mCheckpointReport == CheckpointReport::kListed) {
     inventory.checkpoints.assign(aRunner.checkpoints.begin(), aRunner.checkpoints.end());
   }
   for (const auto& [model, loaded] : aRunner.models) {
@@ -240,7 +244,7 @@
   return inventory;
 }
 
-void CellWorld::Answer(const SendOrder& aOrder, OrderOutcome aOutcome)
+void SimulatedCell::SendOrderResult(const SendOrder& aOrder, OrderOutcome aOutcome)
 {
   Apply(OrderResult{ .cell = aOrder.cell,
                      .runner = aOrder.runner,
@@ -249,20 +253,20 @@
                      .inventory = InventoryOf(mRunners.at(aOrder.runner)) });
 }
 
-void CellWorld::Handle(const SendOrder& aAction)
+void SimulatedCell::Handle(const SendOrder& aAction)
 {
-  FakeRunner& runner = mRunners.at(aAction.runner);
+  SimulatedRunner& runner = mRunners.at(aAction.runner);
   const ModelId& model = aAction.artifact.model;
   switch (aAction.kind) {
     case OrderKind::kInventory:
       break;
     case OrderKind::kLoadModel:
-      Load(aAction);
+      StartLoad(aAction);
       return;
     case OrderKind::kUnloadModel: {
       const auto found = runner.models.find(model);
       if (found != runner.models.end()) {
-        mOutcome.wastedLoads += IsMeasured() && found->second.served == 0 ? 1 : 0;
+        mResult.wastedLoads += IsWarmUpOver() && found->second.served == 0 ? 1 : 0;
         runner.models.erase(found);
         runner.checkpoints.remove(model);
         runner.checkpoints.push_front(model);
@@ -271,36 +275,39 @@
       break;
     }
     case OrderKind::kLoadAdapter:
-      At(mNow + kAdapterLoad, [this, aAction] {
+      Schedule(mNow + kAdapterLoadTime, [this, aAction] {
         mRunners.at(aAction.runner)
           .models.at(aAction.artifact.model)
           .adapters.insert(aAction.artifact.adapter);
-        Answer(aAction, OrderOutcome::kDone);
+        SendOrderResult(aAction, OrderOutcome::kDone);
       });
       return;
   }
-  At(mNow + kOrderDelay, [this, aAction] { Answer(aAction, OrderOutcome::kDone); });
+  Schedule(mNow + kOrderAnswerDelay,
+           [this, aAction] { SendOrderResult(aAction, OrderOutcome::kDone); });
 }
 
-void CellWorld::Load(const SendOrder& aOrder)
+void SimulatedCell::StartLoad(const SendOrder& aOrder)
 {
-  FakeRunner& runner = mRunners.at(aOrder.runner);
+  SimulatedRunner& runner = mRunners.at(aOrder.runner);
   const ModelId& model = aOrder.artifact.model;
   const auto cached = std::find(runner.checkpoints.begin(), runner.checkpoints.end(), model);
   const bool isCached = cached != runner.checkpoints.end();
   runner.models[model] = { .memory = aOrder.memory, .adapters = {} };
-  mOutcome.loads += IsMeasured() ? 1 : 0;
-  mOutcome.storeLoads += IsMeasured() && !isCached ? 1 : 0;
-  mStoreLoads += isCached ? 0 : 1;
-  const double slowdown = std::max(1.0, static_cast<double>(mStoreLoads) / kStoreFullSpeed);
-  const double share = isCached ? kCachedLoadShare : slowdown;
-  const auto length =
-    std::chrono::duration_cast<Duration>(mConfiguration.models.at(model).expectedLoad * share);
-  At(mNow + kOrderDelay, [this, aOrder] { Answer(aOrder, OrderOutcome::kAccepted); });
-  At(mNow + kOrderDelay + length, [this, aOrder, isCached] {
-    mStoreLoads -= isCached ? 0 : 1;
+  mResult.loads += IsWarmUpOver() ? 1 : 0;
+  mResult.storeLoads += IsWarmUpOver() && !isCached ? 1 : 0;
+  mStoreLoadsInProgress += isCached ? 0 : 1;
+  const double storeSlowdown =
+    std::max(1.0, static_cast<double>(mStoreLoadsInProgress) / kStoreLoadsAtFullSpeed);
+  const double loadTimeFactor = isCached ? kCachedLoadTimeFactor : storeSlowdown;
+  const auto loadTime = std::chrono::duration_cast<Duration>(
+    mConfiguration.models.at(model).expectedLoad * loadTimeFactor);
+  Schedule(mNow + kOrderAnswerDelay,
+           [this, aOrder] { SendOrderResult(aOrder, OrderOutcome::kAccepted); });
+  Schedule(mNow + kOrderAnswerDelay + loadTime, [this, aOrder, isCached] {
+    mStoreLoadsInProgress -= isCached ? 0 : 1;
     mRunners.at(aOrder.runner).models.at(aOrder.artifact.model).ready = true;
-    Answer(aOrder, OrderOutcome::kDone);
+    SendOrderResult(aOrder, OrderOutcome::kDone);
   });
 }
 
--- a/bench/cell_world.h
+++ b/bench/simulated_cell.h
@@ -1,6 +1,6 @@
 /* Simulates the runners, the weight store and the table for one node, in virtual time. */
-#ifndef RHUBARBTRAIL_BENCH_CELL_WORLD_H
-#define RHUBARBTRAIL_BENCH_CELL_WORLD_H
+#ifndef RHUBARBTRAIL_BENCH_SIMULATED_CELL_H
+#define RHUBARBTRAIL_BENCH_SIMULATED_CELL_H
 
 #include "bench/arrivals.h"
 
@@ -14,11 +14,11 @@
 namespace rhubarbtrail::bench {
 
 /* Counts and times of a run, without its warm-up. */
-struct Outcome
+struct RunResult
 {
   /* Wait of the first request of each session until a runner starts it. A refused one counts with
    * its whole deadline. */
-  std::vector<double> wakeUpSeconds;
+  std::vector<double> wakeUpWaitSeconds;
   /* Sum over all loaded or loading models without a running request: the model's share of a
    * runner's memory, multiplied by the hours in this state. */
   double idleAcceleratorHours = 0;
@@ -38,16 +38,18 @@
 };
 
 /* One cell with one node, which is both the router and the lease holder. */
-class CellWorld
+class SimulatedCell
 {
 public:
   /* Nothing that happens within aWarmUp is counted. */
-  CellWorld(const Deployment& aDeployment, Duration aWarmUp, CheckpointReport aReport);
+  SimulatedCell(const Deployment& aDeployment,
+                Duration aWarmUp,
+                CheckpointReport aCheckpointReport);
   /* Simulates the arrivals until aLength. Call it only once. */
-  Outcome Run(const std::vector<Arrival>& aArrivals, Duration aLength);
+  RunResult Run(const std::vector<Arrival>& aArrivals, Duration aLength);
 
 private:
-  struct Loaded
+  struct LoadedReplica
   {
     MemoryMb memory;
     bool ready = false;
@@ -55,19 +57,19 @@
     std::uint32_t inFlight = 0;
     std::uint64_t served = 0;
   };
-  struct FakeRunner
+  struct SimulatedRunner
   {
-    std::map<ModelId, Loaded> models;
+    std::map<ModelId, LoadedReplica> models;
     std::list<ModelId> checkpoints; ///< Kept in host memory; the one unloaded last is the first.
   };
-  struct Pending
+  struct PendingRequest
   {
     Arrival arrival;
     EndpointId runner;
     bool isStarted = false;
   };
 
-  void At(TimePoint aTime, std::function<void()> aStep);
+  void Schedule(TimePoint aTime, std::function<void()> aCallback);
   void Apply(const Event& aEvent);
   void Handle(const StartAttempt& aAction);
   void Handle(const FinishRequest& aAction);
@@ -80,28 +82,28 @@
   void Handle(const T& /*aAction*/)
   {
   }
-  void Load(const SendOrder& aOrder);
-  void Answer(const SendOrder& aOrder, OrderOutcome aOutcome);
-  Inventory InventoryOf(const FakeRunner& aRunner) const;
-  void Account();
-  bool IsMeasured() const { return mNow >= mMeasureFrom; }
+  void StartLoad(const SendOrder& aOrder);
+  void SendOrderResult(const SendOrder& aOrder, OrderOutcome aOutcome);
+  Inventory InventoryOf(const SimulatedRunner& aRunner) const;
+  void AddIdleMemory();
+  bool IsWarmUpOver() const { return mNow >= mWarmUpEnd; }
   /* Whether any runner has the model ready. The adapter is not checked. */
-  bool IsReady(const Artifact& aArtifact) const;
+  bool IsModelReady(const Artifact& aArtifact) const;
 
   Configuration mConfiguration;
-  CheckpointReport mReport;
+  CheckpointReport mCheckpointReport;
   Node mNode;
   TimePoint mNow{};
-  TimePoint mMeasureFrom{};
-  TimePoint mAccountedTo{};
-  std::multimap<TimePoint, std::function<void()>> mSteps;
-  TimePoint mWake = TimePoint::max();
+  TimePoint mWarmUpEnd{};
+  TimePoint mIdleMemoryAddedUntil{};
+  std::multimap<TimePoint, std::function<void()>> mCallbacks;
+  TimePoint mNextWakeAt = TimePoint::max();
   std::map<RowKey, Row> mTable;
-  std::map<EndpointId, FakeRunner> mRunners;
-  std::unordered_map<RequestId, Pending> mPending;
-  std::uint32_t mStoreLoads = 0; ///< Loads from the weight store in progress.
-  std::uint64_t mNextRequest = 0;
-  Outcome mOutcome;
+  std::map<EndpointId, SimulatedRunner> mRunners;
+  std::unordered_map<RequestId, PendingRequest> mPendingRequests;
+  std::uint32_t mStoreLoadsInProgress = 0; ///< Loads from the weight store in progress.
+  std::uint64_t mLastRequestNumber = 0;
+  RunResult mResult;
 };
 
 } // namespace rhubarbtrail::bench
--- a/fuzz/parsers_fuzz.cpp
+++ b/fuzz/parsers_fuzz.cpp
@@ -16,7 +16,7 @@
 
 /* Aborts if a document is accepted with a model whose service does not exist, or is rejected
  * without an error. */
-void ReadDocument(const std::string& aText)
+void CheckDocument(const std::string& aText)
 {
   const auto result = ParseConfiguration(aText, { 1 });
   if (!result) {
@@ -33,14 +33,14 @@
 }
 
 /* Aborts if a stream that arrives in pieces of 3 bytes gives other events than the whole stream. */
-void SplitEvents(const std::string& aText)
+void CheckEventSplitting(const std::string& aText)
 {
-  constexpr std::size_t kPiece = 3;
+  constexpr std::size_t kPieceSize = 3;
   SseSplitter whole;
   SseSplitter pieces;
   bool isAccepted = true;
-  for (std::size_t at = 0; at < aText.size() && isAccepted; at += kPiece) {
-    isAccepted = pieces.Feed(std::string_view{ aText }.substr(at, kPiece));
+  for (std::size_t offset = 0; offset < aText.size() && isAccepted; offset += kPieceSize) {
+    isAccepted = pieces.Feed(std::string_view{ aText }.substr(offset, kPieceSize));
   }
   if (!whole.Feed(aText) || !isAccepted) {
     return;
@@ -59,11 +59,11 @@
   if (aSize == 0) {
     return 0;
   }
-  constexpr std::uint8_t kReaders = 5;
+  constexpr std::uint8_t kParserCount = 5;
   const std::string text(aData + 1, aData + aSize);
-  switch (aData[0] % kReaders) {
+  switch (aData[0] % kParserCount) {
     case 0:
-      ReadDocument(text);
+      CheckDocument(text);
       break;
     case 1:
       static_cast<void>(ParseSettings(text, "settings"));
@@ -75,7 +75,7 @@
       static_cast<void>(DecodeRow(text));
       break;
     default:
-      SplitEvents(text);
+      CheckEventSplitting(text);
   }
   return 0;
 }
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -16,12 +16,12 @@
 
 constexpr int kDefaultTokens = 16;
 /* A completion request whose body contains this text ends the engine's process. */
-constexpr const char* kCrashWord = "CRASH-THE-ENGINE";
+constexpr const char* kCrashPrompt = "CRASH-THE-ENGINE";
 
 struct Model
 {
   std::string version;
-  long memory = 0;
+  long memoryMb = 0;
   bool ready = false;
   std::set<std::string> adapters;
   int running = 0;
@@ -32,7 +32,7 @@
 {
   explicit Engine(const Options& aOptions)
     : options(aOptions)
-    , boot(std::to_string(std::random_device{}()))
+    , bootId(std::to_string(std::random_device{}()))
   {
   }
 
@@ -46,31 +46,31 @@
                        { "adapters", model.adapters },
                        { "running", model.running } });
     }
-    return { { "bootId", boot },
+    return { { "bootId", bootId },
              { "memory", options.memoryMb },
              { "models", list },
              { "running", running },
-             { "queued", waiting.size() } };
+             { "queued", waitingPriorities.size() } };
   }
 
-  long Used() const
+  long UsedMemoryMb() const
   {
-    long used = 0;
+    long usedMb = 0;
     for (const auto& [id, model] : models) {
-      used += model.memory;
+      usedMb += model.memoryMb;
     }
-    return used;
+    return usedMb;
   }
 
   Options options;
-  std::string boot;
+  std::string bootId;
   std::mutex mutex;
-  std::condition_variable changed;
+  std::condition_variable stateChanged;
   std::map<std::string, Model> models;
   std::map<std::string, std::string> orders; ///< State of each order, by its id.
-  std::uint64_t fence = 0;                   ///< Highest fencing token of an order so far.
+  std::uint64_t highestFence = 0;            ///< Highest fencing token of an order so far.
   int running = 0;                           ///< Requests that run, of all models.
-  std::multiset<int> waiting;                ///< Priorities of the requests that wait for a slot.
+  std::multiset<int> waitingPriorities;      ///< Priorities of the requests that wait for a slot.
   bool isLeaving = false;
 };
 
@@ -82,7 +82,7 @@
 }
 
 /* Waits for the load of a checkpoint from the weight store of the platform. */
-void FetchFromStore(const Options& aOptions, long aMb)
+void LoadFromStore(const Options& aOptions, long aMb)
 {
   httplib::Client client("http://" + aOptions.platform);
   client.set_read_timeout(std::chrono::seconds{ 600 });
@@ -96,14 +96,14 @@
   const std::string order = aOrder.at("order");
   Model& model = aEngine->models[id];
   model.version = aOrder.value("version", "1");
-  model.memory = aOrder.value("memory", 0L);
+  model.memoryMb = aOrder.value("memory", 0L);
   aServer->journal.Add({ { "what", "load" },
                          { "model", id },
                          { "order", order },
-                         { "used_mb", aEngine->Used() },
+                         { "used_mb", aEngine->UsedMemoryMb() },
                          { "memory_mb", aEngine->options.memoryMb } });
-  std::thread([aServer, aEngine, id, order, mb = model.memory] {
-    FetchFromStore(aEngine->options, mb);
+  std::thread([aServer, aEngine, id, order, memoryMb = model.memoryMb] {
+    LoadFromStore(aEngine->options, memoryMb);
     {
       const std::lock_guard lock(aEngine->mutex);
       const auto found = aEngine->models.find(id);
@@ -113,12 +113,12 @@
       aEngine->orders[order] = "done";
       aServer->journal.Add({ { "what", "ready" }, { "model", id } });
     }
-    aEngine->changed.notify_all();
+    aEngine->stateChanged.notify_all();
   }).detach();
 }
 
 /* Carries out an order that the engine has not seen before. Returns its state. */
-std::string CarryOut(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
+std::string ExecuteOrder(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
 {
   const std::string kind = aOrder.at("kind");
   const std::string id = aOrder.value("model", "");
@@ -127,8 +127,9 @@
     if (engine.models.contains(id)) {
       return engine.models[id].ready ? "done" : "running";
     }
-    const bool isOver = engine.Used() + aOrder.value("memory", 0L) > engine.options.memoryMb;
-    if (isOver) {
+    const bool exceedsMemory =
+      engine.UsedMemoryMb() + aOrder.value("memory", 0L) > engine.options.memoryMb;
+    if (exceedsMemory) {
       aServer->journal.Add({ { "what", "overcommit" }, { "model", id } });
       return "no_memory";
     }
@@ -170,52 +171,53 @@
   {
     const std::lock_guard lock(aEngine->mutex);
     const std::uint64_t fence = order.value("fence", std::uint64_t{ 0 });
-    const auto known = aEngine->orders.find(id);
-    if (aEngine->options.checksFence && fence < aEngine->fence) {
+    const auto knownOrder = aEngine->orders.find(id);
+    if (aEngine->options.checksFence && fence < aEngine->highestFence) {
       state = "fenced";
-    } else if (known != aEngine->orders.end()) {
-      state = known->second;
+    } else if (knownOrder != aEngine->orders.end()) {
+      state = knownOrder->second;
     } else {
-      aEngine->fence = std::max(aEngine->fence, fence);
-      state = CarryOut(aServer, aEngine, order);
+      aEngine->highestFence = std::max(aEngine->highestFence, fence);
+      state = ExecuteOrder(aServer, aEngine, order);
       if (order.at("kind") != "inventory") {
         aEngine->orders[id] = state;
       }
     }
     aResponse.set_content(OrderReply(*aEngine, id, state).dump(), "application/json");
   }
-  if (aServer->faults.Take("order_lose_answers")) {
+  if (aServer->faults.Consume("order_lose_answers")) {
     LoseAnswer(aResponse);
   }
 }
 
-void FollowOrder(const EnginePtr& aEngine,
-                 const httplib::Request& aRequest,
-                 httplib::Response& aResponse)
+void WaitForOrder(const EnginePtr& aEngine,
+                  const httplib::Request& aRequest,
+                  httplib::Response& aResponse)
 {
   const std::string id = aRequest.matches[1];
   const auto wait =
     std::chrono::milliseconds{ std::atol(aRequest.get_param_value("wait_ms").c_str()) };
   std::unique_lock lock(aEngine->mutex);
-  aEngine->changed.wait_for(lock, wait, [&] { return aEngine->orders[id] != "running"; });
+  aEngine->stateChanged.wait_for(lock, wait, [&] { return aEngine->orders[id] != "running"; });
   const std::string state = aEngine->orders[id].empty() ? "failed" : aEngine->orders[id];
   aResponse.set_content(OrderReply(*aEngine, id, state).dump(), "application/json");
 }
 
 /* Waits for a slot, and occupies it. Requests with lower priority numbers get slots first. */
-void EnterBatch(Engine& aEngine, int aPriority)
+void AcquireSlot(Engine& aEngine, int aPriority)
 {
   std::unique_lock lock(aEngine.mutex);
-  const auto place = aEngine.waiting.insert(aPriority);
-  aEngine.changed.wait(lock, [&] {
-    return aEngine.running < aEngine.options.slots && *aEngine.waiting.begin() >= aPriority;
+  const auto waitingEntry = aEngine.waitingPriorities.insert(aPriority);
+  aEngine.stateChanged.wait(lock, [&] {
+    return aEngine.running < aEngine.options.slots &&
+           *aEngine.waitingPriorities.begin() >= aPriority;
   });
-  aEngine.waiting.erase(place);
+  aEngine.waitingPriorities.erase(waitingEntry);
   ++aEngine.running;
 }
 
 /* Frees the slot of a request that has ended. */
-void LeaveBatch(Engine& aEngine, const std::string& aModel)
+void ReleaseSlot(Engine& aEngine, const std::string& aModel)
 {
   {
     const std::lock_guard lock(aEngine.mutex);
@@ -225,7 +227,7 @@
       --found->second.running;
     }
   }
-  aEngine.changed.notify_all();
+  aEngine.stateChanged.notify_all();
 }
 
 /* Returns the text of a token. It depends only on the prompt and on the index of the token, so that
@@ -243,87 +245,92 @@
 }
 
 /* A completion that is in progress. */
-struct Run
+struct Completion
 {
   std::string id;
   std::string model;
-  std::size_t hash = 0;
+  std::size_t promptHash = 0;
   int tokens = kDefaultTokens;
-  int next = 0;
+  int nextToken = 0;
 };
 
-std::string EventOf(const Run& aRun, int aIndex)
+std::string MakeStreamEvent(const Completion& aCompletion, int aIndex)
 {
-  const json delta{ { "content", TokenText(aRun.hash, aIndex) } };
+  const json delta{ { "content", TokenText(aCompletion.promptHash, aIndex) } };
   const json choice{ { "index", 0 }, { "delta", delta } };
   return "data: " +
          json{
-           { "id", aRun.id }, { "object", "chat.completion.chunk" }, { "choices", { choice } }
+           { "id", aCompletion.id },
+           { "object", "chat.completion.chunk" },
+           { "choices", { choice } }
          }.dump() +
          "\n\n";
 }
 
-void AnswerStream(Server* aServer,
-                  const EnginePtr& aEngine,
-                  const std::shared_ptr<Run>& aRun,
-                  httplib::Response& aResponse)
+void SendStream(Server* aServer,
+                const EnginePtr& aEngine,
+                const std::shared_ptr<Completion>& aCompletion,
+                httplib::Response& aResponse)
 {
   aResponse.set_chunked_content_provider(
     "text/event-stream",
     [=](std::size_t, httplib::DataSink& aSink) {
-      if (aRun->next >= aRun->tokens) {
+      if (aCompletion->nextToken >= aCompletion->tokens) {
         const std::string end = "data: [DONE]\n\n";
         aSink.write(end.data(), end.size());
         aSink.done();
         return true;
       }
-      if (aRun->next == aServer->faults.Value("cut_at") && aServer->faults.Take("cut_streams")) {
+      if (aCompletion->nextToken == aServer->faults.Value("cut_at") &&
+          aServer->faults.Consume("cut_streams")) {
         return false;
       }
-      if (aRun->next == aServer->faults.Value("silent_at") &&
-          aServer->faults.Take("silent_streams")) {
+      if (aCompletion->nextToken == aServer->faults.Value("silent_at") &&
+          aServer->faults.Consume("silent_streams")) {
         std::this_thread::sleep_for(std::chrono::seconds{ 20 });
         return false;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds{ aEngine->options.tokenMs });
-      const std::string event = EventOf(*aRun, aRun->next++);
+      const std::string event = MakeStreamEvent(*aCompletion, aCompletion->nextToken++);
       return aSink.write(event.data(), event.size());
     },
-    [=](bool aIsWhole) {
-      aServer->journal.Add({ { "what", "end" }, { "request", aRun->id }, { "whole", aIsWhole } });
-      LeaveBatch(*aEngine, aRun->model);
+    [=](bool aIsComplete) {
+      aServer->journal.Add(
+        { { "what", "end" }, { "request", aCompletion->id }, { "whole", aIsComplete } });
+      ReleaseSlot(*aEngine, aCompletion->model);
     });
 }
 
-void AnswerWhole(Server* aServer,
-                 const EnginePtr& aEngine,
-                 const Run& aRun,
-                 httplib::Response& aResponse)
+void SendWholeAnswer(Server* aServer,
+                     const EnginePtr& aEngine,
+                     const Completion& aCompletion,
+                     httplib::Response& aResponse)
 {
-  std::this_thread::sleep_for(std::chrono::milliseconds{ aEngine->options.tokenMs * aRun.tokens });
+  std::this_thread::sleep_for(
+    std::chrono::milliseconds{ aEngine->options.tokenMs * aCompletion.tokens });
   std::string text;
-  for (int index = 0; index < aRun.tokens; ++index) {
-    text += TokenText(aRun.hash, index);
+  for (int index = 0; index < aCompletion.tokens; ++index) {
+    text += TokenText(aCompletion.promptHash, index);
   }
   const json choice{ { "index", 0 },
                      { "message", { { "role", "assistant" }, { "content", text } } } };
-  aResponse.set_content(json{ { "id", aRun.id },
+  aResponse.set_content(json{ { "id", aCompletion.id },
                               { "object", "chat.completion" },
-                              { "model", aRun.model },
+                              { "model", aCompletion.model },
                               { "choices", { choice } },
-                              { "usage", { { "completion_tokens", aRun.tokens } } } }
+                              { "usage", { { "completion_tokens", aCompletion.tokens } } } }
                           .dump(),
                         "application/json");
-  aServer->journal.Add({ { "what", "end" }, { "request", aRun.id }, { "whole", true } });
-  LeaveBatch(*aEngine, aRun.model);
-  if (aServer->faults.Take("lose_answers")) {
+  aServer->journal.Add({ { "what", "end" }, { "request", aCompletion.id }, { "whole", true } });
+  ReleaseSlot(*aEngine, aCompletion.model);
+  if (aServer->faults.Consume("lose_answers")) {
     LoseAnswer(aResponse);
   }
 }
 
 /* Counts the request as running on its model and returns an empty string, or returns the reason for
  * which the request is refused. */
-std::string RefusalOf(Engine& aEngine, const std::string& aModel, const std::string& aAdapter)
+std::string AdmitRequest(Engine& aEngine, const std::string& aModel, const std::string& aAdapter)
 {
   const std::lock_guard lock(aEngine.mutex);
   if (aEngine.isLeaving) {
@@ -338,51 +345,52 @@
   return {};
 }
 
-void Complete(Server* aServer,
-              const EnginePtr& aEngine,
-              const httplib::Request& aRequest,
-              httplib::Response& aResponse)
+void HandleCompletion(Server* aServer,
+                      const EnginePtr& aEngine,
+                      const httplib::Request& aRequest,
+                      httplib::Response& aResponse)
 {
   const json body = json::parse(aRequest.body);
   const std::string name = body.at("model");
   const auto colon = name.find(':');
-  const auto run = std::make_shared<Run>();
-  run->id = aRequest.get_header_value("X-Request-Id");
-  run->model = name.substr(0, colon);
-  run->hash = std::hash<std::string>{}(PromptOf(body));
-  run->tokens = body.value("max_tokens", kDefaultTokens);
-  run->next = std::atoi(aRequest.get_header_value("X-Resume-Offset").c_str());
-  const std::string refusal =
-    RefusalOf(*aEngine, run->model, colon == std::string::npos ? "" : name.substr(colon + 1));
+  const auto completion = std::make_shared<Completion>();
+  completion->id = aRequest.get_header_value("X-Request-Id");
+  completion->model = name.substr(0, colon);
+  completion->promptHash = std::hash<std::string>{}(PromptOf(body));
+  completion->tokens = body.value("max_tokens", kDefaultTokens);
+  completion->nextToken = std::atoi(aRequest.get_header_value("X-Resume-Offset").c_str());
+  const std::string refusal = AdmitRequest(
+    *aEngine, completion->model, colon == std::string::npos ? "" : name.substr(colon + 1));
   aResponse.set_header("X-Request-Id",
-                       aServer->faults.Take("crossed_answers") ? "another" : run->id);
+                       aServer->faults.Consume("crossed_answers") ? "another" : completion->id);
   if (!refusal.empty()) {
-    aServer->journal.Add({ { "what", "refused" }, { "request", run->id }, { "why", refusal } });
+    aServer->journal.Add(
+      { { "what", "refused" }, { "request", completion->id }, { "why", refusal } });
     aResponse.status = 503;
     aResponse.set_header("X-Refusal", refusal);
     return;
   }
-  aResponse.set_header("X-Resume-Offset", std::to_string(run->next));
-  EnterBatch(*aEngine, std::atoi(aRequest.get_header_value("X-Priority").c_str()));
+  aResponse.set_header("X-Resume-Offset", std::to_string(completion->nextToken));
+  AcquireSlot(*aEngine, std::atoi(aRequest.get_header_value("X-Priority").c_str()));
   aServer->journal.Add({ { "what", "run" },
-                         { "request", run->id },
-                         { "model", run->model },
-                         { "offset", run->next },
+                         { "request", completion->id },
+                         { "model", completion->model },
+                         { "offset", completion->nextToken },
                          { "prompt", PromptOf(body) } });
-  if (aRequest.body.find(kCrashWord) != std::string::npos) {
+  if (aRequest.body.find(kCrashPrompt) != std::string::npos) {
     std::this_thread::sleep_for(std::chrono::milliseconds{ 30 });
     std::_Exit(70);
   }
   if (body.value("stream", false)) {
-    AnswerStream(aServer, aEngine, run, aResponse);
+    SendStream(aServer, aEngine, completion, aResponse);
   } else {
-    AnswerWhole(aServer, aEngine, *run, aResponse);
+    SendWholeAnswer(aServer, aEngine, *completion, aResponse);
   }
 }
 
 } // namespace
 
-void AddEngine(Server& aServer, const Options& aOptions)
+void AddEngineRoutes(Server& aServer, const Options& aOptions)
 {
   const auto engine = std::make_shared<Engine>(aOptions);
   Server* server = &aServer;
@@ -391,7 +399,7 @@
   });
   aServer.http.Get(R"(/orders/([^/]+))",
                    [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-                     FollowOrder(engine, aRequest, aResponse);
+                     WaitForOrder(engine, aRequest, aResponse);
                    });
   aServer.http.Get("/inventory", [=](const httplib::Request&, httplib::Response& aResponse) {
     const std::lock_guard lock(engine->mutex);
@@ -402,7 +410,7 @@
     engine->isLeaving = true;
   });
   const auto complete = [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-    Complete(server, engine, aRequest, aResponse);
+    HandleCompletion(server, engine, aRequest, aResponse);
   };
   aServer.http.Post("/v1/chat/completions", complete);
   aServer.http.Post("/v1/completions", complete);
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -9,7 +9,7 @@
 
 namespace standin {
 
-void Server::AddAdmin()
+void Server::AddAdminRoutes()
 {
   http.Get("/health", [](const httplib::Request&, httplib::Response& aResponse) {
     aResponse.set_content("ok", "text/plain");
@@ -21,7 +21,7 @@
     }
   });
   http.Get("/journal", [this](const httplib::Request&, httplib::Response& aResponse) {
-    aResponse.set_content(journal.All().dump(), "application/json");
+    aResponse.set_content(journal.Entries().dump(), "application/json");
   });
 }
 
@@ -65,21 +65,22 @@
   server.http.new_task_queue = [] { return new httplib::ThreadPool(192); };
   server.http.set_tcp_nodelay(true);
   server.http.set_keep_alive_max_count(1'000'000);
-  server.AddAdmin();
+  server.AddAdminRoutes();
   if (options.role == "platform") {
-    standin::AddPlatform(server, options);
+    standin::AddPlatformRoutes(server, options);
   } else if (options.role == "engine") {
-    standin::AddEngine(server, options);
+    standin::AddEngineRoutes(server, options);
   } else {
-    standin::AddService(server, options);
+    standin::AddServiceRoutes(server, options);
   }
-  int listener = -1;
-  server.http.set_socket_options([&listener](int aSocket) { listener = aSocket; });
+  int listeningSocket = -1;
+  server.http.set_socket_options([&listeningSocket](int aSocket) { listeningSocket = aSocket; });
   const int port = server.http.bind_to_any_port("127.0.0.1");
-  listen(listener, 1'024); // The library's backlog of 5 drops connections that arrive in bursts.
+  listen(listeningSocket,
+         1'024); // The library's backlog of 5 drops connections that arrive in bursts.
   // The file is renamed when it is complete, so that nobody reads a part of the address.
-  const std::string partial = options.addressFile + ".partial";
-  std::ofstream(partial) << "127.0.0.1:" << port << "\n";
-  std::rename(partial.c_str(), options.addressFile.c_str());
+  const std::string partialFile = options.addressFile + ".partial";
+  std::ofstream(partialFile) << "127.0.0.1:" << port << "\n";
+  std::rename(partialFile.c_str(), options.addressFile.c_str());
   return server.http.listen_after_bind() ? 0 : 1;
 }
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -18,24 +18,24 @@
 {
 public:
   explicit RateLimit(int aPerSecond)
-    : mStep(std::chrono::microseconds{ 1'000'000 / std::max(1, aPerSecond) })
+    : mInterval(std::chrono::microseconds{ 1'000'000 / std::max(1, aPerSecond) })
   {
   }
   void Wait()
   {
-    Clock::time_point turn;
+    Clock::time_point startTime;
     {
       const std::lock_guard lock(mMutex);
-      turn = std::max(mNext, Clock::now() - std::chrono::milliseconds{ 100 });
-      mNext = turn + mStep;
+      startTime = std::max(mNextStart, Clock::now() - std::chrono::milliseconds{ 100 });
+      mNextStart = startTime + mInterval;
     }
-    std::this_thread::sleep_until(turn);
+    std::this_thread::sleep_until(startTime);
   }
 
 private:
-  const Clock::duration mStep;
+  const Clock::duration mInterval;
   std::mutex mMutex;
-  Clock::time_point mNext{};
+  Clock::time_point mNextStart{};
 };
 
 struct TableRow
@@ -48,7 +48,7 @@
 class Table
 {
 public:
-  json RowOf(const std::string& aKey) const
+  json RowAsJson(const std::string& aKey) const
   {
     const auto found = mRows.find(aKey);
     if (found == mRows.end()) {
@@ -63,17 +63,17 @@
   std::pair<int, json> Commit(const json& aBody)
   {
     const std::lock_guard lock(mMutex);
-    json failed = json::array();
+    json unmetRows = json::array();
     for (const json& condition : aBody.at("conditions")) {
-      const json row = RowOf(condition.at("key"));
+      const json row = RowAsJson(condition.at("key"));
       if (row["version"] != condition.at("version")) {
-        failed.push_back(row);
+        unmetRows.push_back(row);
       }
     }
-    if (!failed.empty()) {
-      return { 409, { { "rows", failed } } };
+    if (!unmetRows.empty()) {
+      return { 409, { { "rows", unmetRows } } };
     }
-    json written = json::array();
+    json writtenRows = json::array();
     for (const json& write : aBody.at("writes")) {
       const std::string key = write.at("key");
       if (write.contains("value")) {
@@ -81,9 +81,9 @@
       } else {
         mRows.erase(key);
       }
-      written.push_back(RowOf(key));
+      writtenRows.push_back(RowAsJson(key));
     }
-    return { 200, { { "rows", written } } };
+    return { 200, { { "rows", writtenRows } } };
   }
 
   json Read(const json& aKeys) const
@@ -91,7 +91,7 @@
     const std::lock_guard lock(mMutex);
     json rows = json::array();
     for (const json& key : aKeys) {
-      rows.push_back(RowOf(key));
+      rows.push_back(RowAsJson(key));
     }
     return { { "rows", rows } };
   }
@@ -107,20 +107,20 @@
 {
 public:
   explicit HostList(int aLagMs)
-    : mLag(aLagMs)
+    : mDelay(aLagMs)
   {
   }
 
-  void Change(const json& aHost, bool aIsRemoved)
+  void QueueChange(const json& aHost, bool aIsRemoved)
   {
     const std::lock_guard lock(mMutex);
-    mChanges.push_back({ Clock::now() + mLag, aHost, aIsRemoved });
+    mChanges.push_back({ Clock::now() + mDelay, aHost, aIsRemoved });
   }
 
-  json Visible()
+  json VisibleHosts()
   {
     const std::lock_guard lock(mMutex);
-    while (!mChanges.empty() && mChanges.front().at <= Clock::now()) {
+    while (!mChanges.empty() && mChanges.front().visibleAt <= Clock::now()) {
       const std::string id = mChanges.front().host.at("id");
       if (mChanges.front().isRemoved) {
         mHosts.erase(id);
@@ -137,15 +137,15 @@
   }
 
 private:
-  struct Pending
+  struct PendingChange
   {
-    Clock::time_point at;
+    Clock::time_point visibleAt;
     json host;
     bool isRemoved = false;
   };
-  const std::chrono::milliseconds mLag;
+  const std::chrono::milliseconds mDelay;
   std::mutex mMutex;
-  std::deque<Pending> mChanges;
+  std::deque<PendingChange> mChanges;
   std::map<std::string, json> mHosts;
 };
 
@@ -157,9 +157,9 @@
   void Load(long aMb, const Options& aOptions, long aSlowFactor)
   {
     const int inFlight = ++mInFlight;
-    const double crowd =
+    const double slowdown =
       std::max(1.0, static_cast<double>(inFlight) / std::max(1, aOptions.storeSlots));
-    const double seconds = static_cast<double>(aMb) / aOptions.storeMbPerSecond * crowd *
+    const double seconds = static_cast<double>(aMb) / aOptions.storeMbPerSecond * slowdown *
                            static_cast<double>(std::max(1L, aSlowFactor));
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
     --mInFlight;
@@ -187,7 +187,7 @@
 };
 
 /* Applies the faults that all table calls have in common. Returns whether the call is refused. */
-bool IsTableDown(Server& aServer, httplib::Response& aResponse)
+bool ApplyTableFaults(Server& aServer, httplib::Response& aResponse)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds{ aServer.faults.Value("table_slow_ms") });
   if (aServer.faults.Value("table_down") != 0) {
@@ -199,18 +199,18 @@
 
 } // namespace
 
-void AddPlatform(Server& aServer, const Options& aOptions)
+void AddPlatformRoutes(Server& aServer, const Options& aOptions)
 {
   const auto platform = std::make_shared<Platform>(aOptions);
   Server* server = &aServer;
   aServer.http.Post(
     "/table/transaction", [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-      if (IsTableDown(*server, aResponse)) {
+      if (ApplyTableFaults(*server, aResponse)) {
         return;
       }
       platform->writes.Wait();
       const auto [status, body] = platform->table.Commit(json::parse(aRequest.body));
-      if (server->faults.Take("table_lose_answers")) {
+      if (server->faults.Consume("table_lose_answers")) {
         LoseAnswer(aResponse);
         return;
       }
@@ -219,7 +219,7 @@
     });
   aServer.http.Post(
     "/table/read", [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-      if (IsTableDown(*server, aResponse)) {
+      if (ApplyTableFaults(*server, aResponse)) {
         return;
       }
       platform->reads.Wait();
@@ -227,15 +227,15 @@
                             "application/json");
     });
   aServer.http.Get("/hosts", [=](const httplib::Request&, httplib::Response& aResponse) {
-    aResponse.set_content(platform->hosts.Visible().dump(), "application/json");
+    aResponse.set_content(platform->hosts.VisibleHosts().dump(), "application/json");
   });
   aServer.http.Post("/admin/hosts", [=](const httplib::Request& aRequest, httplib::Response&) {
     const json body = json::parse(aRequest.body);
     for (const json& host : body.value("set", json::array())) {
-      platform->hosts.Change(host, false);
+      platform->hosts.QueueChange(host, false);
     }
     for (const json& id : body.value("remove", json::array())) {
-      platform->hosts.Change({ { "id", id } }, true);
+      platform->hosts.QueueChange({ { "id", id } }, true);
     }
   });
   aServer.http.Post("/store/load", [=](const httplib::Request& aRequest, httplib::Response&) {
--- a/standin/service.cpp
+++ b/standin/service.cpp
@@ -8,12 +8,12 @@
 
 namespace standin {
 
-void AddService(Server& aServer, const Options& aOptions)
+void AddServiceRoutes(Server& aServer, const Options& aOptions)
 {
   Server* server = &aServer;
-  const auto count = std::make_shared<std::atomic<int>>(0);
+  const auto runCount = std::make_shared<std::atomic<int>>(0);
   const auto isLeaving = std::make_shared<std::atomic<bool>>(false);
-  const auto serve = [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
+  const auto handleRequest = [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
     aResponse.set_header("X-Request-Id", aRequest.get_header_value("X-Request-Id"));
     if (*isLeaving) {
       server->journal.Add({ { "what", "refused" }, { "why", "leaving" } });
@@ -21,7 +21,7 @@
       aResponse.set_header("X-Refusal", "leaving");
       return;
     }
-    const int number = ++*count;
+    const int runNumber = ++*runCount;
     server->journal.Add({ { "what", "run" },
                           { "method", aRequest.method },
                           { "path", aRequest.path },
@@ -29,21 +29,21 @@
                           { "request", aRequest.get_header_value("X-Request-Id") } });
     std::this_thread::sleep_for(std::chrono::milliseconds{ server->faults.Value("slow_ms") });
     aResponse.set_content(
-      json{ { "endpoint", aOptions.id }, { "number", number }, { "done", true } }.dump(),
+      json{ { "endpoint", aOptions.id }, { "number", runNumber }, { "done", true } }.dump(),
       "application/json");
-    if (server->faults.Take("lose_answers")) {
+    if (server->faults.Consume("lose_answers")) {
       LoseAnswer(aResponse);
     }
-    if (server->faults.Take("crash")) {
+    if (server->faults.Consume("crash")) {
       std::_Exit(70);
     }
   };
   aServer.http.Post("/admin/leave",
                     [=](const httplib::Request&, httplib::Response&) { *isLeaving = true; });
-  aServer.http.Get(R"(/.*)", serve);
-  aServer.http.Post(R"(/.*)", serve);
-  aServer.http.Put(R"(/.*)", serve);
-  aServer.http.Delete(R"(/.*)", serve);
+  aServer.http.Get(R"(/.*)", handleRequest);
+  aServer.http.Post(R"(/.*)", handleRequest);
+  aServer.http.Put(R"(/.*)", handleRequest);
+  aServer.http.Delete(R"(/.*)", handleRequest);
 }
 
 } // namespace standin
--- a/standin/standin.h
+++ b/standin/standin.h
@@ -50,7 +50,7 @@
     return found == mValues.end() ? 0 : found->second;
   }
   /* Uses up one occurrence of a counted fault. Returns false if none is left. */
-  bool Take(const std::string& aName)
+  bool Consume(const std::string& aName)
   {
     const std::lock_guard lock(mMutex);
     long& value = mValues[aName];
@@ -78,7 +78,7 @@
                         .count();
     mEntries.push_back(std::move(aEntry));
   }
-  json All() const
+  json Entries() const
   {
     const std::lock_guard lock(mMutex);
     return mEntries;
@@ -97,7 +97,7 @@
   Journal journal;
 
   /* Adds the routes for faults, journal and health check. */
-  void AddAdmin();
+  void AddAdminRoutes();
 };
 
 /* Makes the server close the connection after the header, without the announced body, so that the
@@ -105,9 +105,9 @@
 void LoseAnswer(httplib::Response& aResponse);
 
 /* Add the routes of a role to the server. */
-void AddPlatform(Server& aServer, const Options& aOptions);
-void AddEngine(Server& aServer, const Options& aOptions);
-void AddService(Server& aServer, const Options& aOptions);
+void AddPlatformRoutes(Server& aServer, const Options& aOptions);
+void AddEngineRoutes(Server& aServer, const Options& aOptions);
+void AddServiceRoutes(Server& aServer, const Options& aOptions);
 
 } // namespace standin
 
--- a/tools/router_bench.cpp
+++ b/tools/router_bench.cpp
@@ -14,10 +14,11 @@
 constexpr std::uint64_t kSeed = 20'261;
 
 /* Returns the latencies of the completed requests, sorted. */
-std::vector<Duration> LatenciesOf(const World& aWorld, const std::map<RequestId, TimePoint>& aAsked)
+std::vector<Duration> LatenciesOf(const World& aWorld,
+                                  const std::map<RequestId, TimePoint>& aArrivalTimes)
 {
   std::vector<Duration> latencies;
-  for (const auto& [request, at] : aAsked) {
+  for (const auto& [request, at] : aArrivalTimes) {
     if (aWorld.CodeOf(request) == 1000) {
       latencies.push_back(aWorld.finished.at(request).at - at);
     }
@@ -43,17 +44,18 @@
                    aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 4'096;
                  } });
     std::mt19937_64 random(kSeed);
-    std::exponential_distribution<double> gap(rate);
-    std::map<RequestId, TimePoint> asked;
+    std::exponential_distribution<double> interarrivalSeconds(rate);
+    std::map<RequestId, TimePoint> arrivalTimes;
     const int count = rate * 10;
     for (int index = 0; index < count; ++index) {
-      world.Run(Duration{ static_cast<std::int64_t>(gap(random) * 1e6) });
+      world.Run(Duration{ static_cast<std::int64_t>(interarrivalSeconds(random) * 1e6) });
       const TimePoint at = world.now;
-      asked[world.SendRequest({ .service = ServiceId{ "plain" },
-                                .key = IdempotencyKey{ "k" + std::to_string(index) } })] = at;
+      arrivalTimes[world.SendRequest({ .service = ServiceId{ "plain" },
+                                       .key = IdempotencyKey{ "k" + std::to_string(index) } })] =
+        at;
     }
     world.Run(10s);
-    const auto latencies = LatenciesOf(world, asked);
+    const auto latencies = LatenciesOf(world, arrivalTimes);
     std::printf("%8d  %18.2f  %10.2f  %6.1f  %6.1f  (%zu of %d answered)\n",
                 rate,
                 static_cast<double>(world.claimTransactions) / count,
@@ -75,17 +77,17 @@
       disabled.set(static_cast<std::size_t>(Mechanism::kRetryBudget), !hasBudget);
       World world({ .runners = 4, .disabled = disabled });
       std::mt19937_64 random(kSeed);
-      std::uniform_int_distribution<int> dice(0, 99);
+      std::uniform_int_distribution<int> percentDistribution(0, 99);
       world.endOfAttempt = [&](const StartedAttempt&) {
-        const bool fails = dice(random) < percent;
-        return std::optional{ SimulatedEnd{ fails ? AttemptOutcome::kCut
+        const bool isCut = percentDistribution(random) < percent;
+        return std::optional{ SimulatedEnd{ isCut ? AttemptOutcome::kCut
                                                   : AttemptOutcome::kCompleted } };
       };
       constexpr int kRequests = 2'000;
-      std::map<RequestId, TimePoint> asked;
+      std::map<RequestId, TimePoint> arrivalTimes;
       for (int index = 0; index < kRequests; ++index) {
         const TimePoint at = world.now;
-        asked[world.SendRequest({ .service = ServiceId{ "plain" } })] = at;
+        arrivalTimes[world.SendRequest({ .service = ServiceId{ "plain" } })] = at;
         world.Run(10ms);
       }
       world.Run(40s);
@@ -93,7 +95,7 @@
                   percent,
                   hasBudget ? "on" : "off",
                   static_cast<double>(world.started.size()) / kRequests,
-                  100.0 * static_cast<double>(LatenciesOf(world, asked).size()) / kRequests);
+                  100.0 * static_cast<double>(LatenciesOf(world, arrivalTimes).size()) / kRequests);
     }
   }
 }
@@ -104,41 +106,44 @@
 void MeasureFairness()
 {
   std::printf("large customer  small p50 ms  small p99 ms  small refused  large answered\n");
-  for (const bool hasLarge : { false, true }) {
+  for (const bool hasLargeCustomer : { false, true }) {
     World world({ .configure = [](Configuration& aConfiguration, DecisionSettings& aSettings) {
       aConfiguration.customers.at(CustomerId{ "big" }).queueLimit = 100'000;
       aSettings.queueLimit = 1'000;
     } });
     std::mt19937_64 random(kSeed);
-    std::mt19937_64 service(kSeed + 1);
-    std::gamma_distribution<double> time(4.0, 25'000.0);
+    std::mt19937_64 serviceRandom(kSeed + 1);
+    std::gamma_distribution<double> serviceMicroseconds(4.0, 25'000.0);
     world.endOfAttempt = [&](const StartedAttempt&) {
-      return std::optional{ SimulatedEnd{ AttemptOutcome::kCompleted,
-                                          Duration{ static_cast<std::int64_t>(time(service)) } } };
+      return std::optional{ SimulatedEnd{
+        AttemptOutcome::kCompleted,
+        Duration{ static_cast<std::int64_t>(serviceMicroseconds(serviceRandom)) } } };
     };
-    std::exponential_distribution<double> gap(8.0 + (hasLarge ? 1'600.0 : 0.0));
-    std::uniform_real_distribution<double> share(0.0, 8.0 + (hasLarge ? 1'600.0 : 0.0));
-    std::map<RequestId, TimePoint> small;
-    std::map<RequestId, TimePoint> large;
-    const TimePoint until = world.now + 120s;
-    while (world.now < until) {
-      world.Run(Duration{ static_cast<std::int64_t>(gap(random) * 1e6) });
-      const bool isSmall = share(random) < 8.0;
+    std::exponential_distribution<double> interarrivalSeconds(8.0 +
+                                                              (hasLargeCustomer ? 1'600.0 : 0.0));
+    std::uniform_real_distribution<double> customerChoice(0.0,
+                                                          8.0 + (hasLargeCustomer ? 1'600.0 : 0.0));
+    std::map<RequestId, TimePoint> smallArrivalTimes;
+    std::map<RequestId, TimePoint> largeArrivalTimes;
+    const TimePoint arrivalsEnd = world.now + 120s;
+    while (world.now < arrivalsEnd) {
+      world.Run(Duration{ static_cast<std::int64_t>(interarrivalSeconds(random) * 1e6) });
+      const bool isSmall = customerChoice(random) < 8.0;
       const TimePoint at = world.now;
       const RequestId request =
         world.SendRequest({ .customer = CustomerId{ isSmall ? "small" : "big" } });
-      (isSmall ? small : large)[request] = at;
+      (isSmall ? smallArrivalTimes : largeArrivalTimes)[request] = at;
     }
     world.Run(60s);
-    const auto latencies = LatenciesOf(world, small);
+    const auto latencies = LatenciesOf(world, smallArrivalTimes);
     std::printf("%14s  %12.1f  %12.1f  %6zu of %zu  %8zu of %zu\n",
-                hasLarge ? "10x" : "none",
+                hasLargeCustomer ? "10x" : "none",
                 Percentile(latencies, 0.5),
                 Percentile(latencies, 0.99),
-                small.size() - latencies.size(),
-                small.size(),
-                LatenciesOf(world, large).size(),
-                large.size());
+                smallArrivalTimes.size() - latencies.size(),
+                smallArrivalTimes.size(),
+                LatenciesOf(world, largeArrivalTimes).size(),
+                largeArrivalTimes.size());
   }
 }
 
