--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -77,6 +77,7 @@
 constexpr std::uint32_t kReplicasPerRunner = 5;
 constexpr std::uint32_t kMaxEvents = 2'000; ///< Measured events of a kind, at most.
 
+/* Returns the number of allocated bytes of the heap. */
 std::size_t HeapBytes()
 {
   return mallinfo2().uordblks;
@@ -301,6 +302,7 @@
     }
   }
 
+  /* Returns the time in microseconds for which the node processes an event, without its actions. */
   double MeasureEvent(const Event& aEvent)
   {
     const auto start = std::chrono::steady_clock::now();
@@ -373,6 +375,7 @@
   std::vector<SendOrder> mPendingInventoryOrders;
 };
 
+/* Measures a fleet of the given size and prints a line of the table. */
 void PrintRow(const char* aName, const FleetSize& aFleetSize)
 {
   const std::size_t before = HeapBytes();
--- a/bench/simulated_cell.h
+++ b/bench/simulated_cell.h
@@ -52,7 +52,7 @@
   struct LoadedReplica
   {
     MemoryMb memory;
-    bool ready = false;
+    bool ready = false; ///< Whether the load has ended.
     std::set<AdapterId> adapters;
     std::uint32_t inFlight = 0;
     std::uint64_t served = 0;
@@ -101,7 +101,7 @@
   std::map<RowKey, Row> mTable;
   std::map<EndpointId, SimulatedRunner> mRunners;
   std::unordered_map<RequestId, PendingRequest> mPendingRequests;
-  std::uint32_t mStoreLoadsInProgress = 0; ///< Loads from the weight store in progress.
+  std::uint32_t mStoreLoadsInProgress = 0;
   std::uint64_t mLastRequestNumber = 0;
   RunResult mResult;
 };
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -68,7 +68,7 @@
   std::condition_variable stateChanged;
   std::map<std::string, Model> models;
   std::map<std::string, std::string> orders; ///< State of each order, by its id.
-  std::uint64_t highestFence = 0;            ///< Highest fencing token of an order so far.
+  std::uint64_t highestFence = 0;            ///< Highest fencing token of the executed orders.
   int running = 0;                           ///< Requests that run, of all models.
   std::multiset<int> waitingPriorities;      ///< Priorities of the requests that wait for a slot.
   bool isLeaving = false;
@@ -159,6 +159,8 @@
   return "done";
 }
 
+/* Executes an order unless its fencing token is outdated. A repeated order gets the state of the
+ * first one. */
 void PostOrder(Server* aServer,
                const EnginePtr& aEngine,
                const httplib::Request& aRequest,
@@ -190,6 +192,7 @@
   }
 }
 
+/* Answers with the state of an order. Waits up to wait_ms while the order is running. */
 void WaitForOrder(const EnginePtr& aEngine,
                   const httplib::Request& aRequest,
                   httplib::Response& aResponse)
@@ -251,7 +254,7 @@
   std::string model;
   std::size_t promptHash = 0;
   int tokens = kDefaultTokens;
-  int nextToken = 0;
+  int nextToken = 0; ///< Index of the next token to send.
 };
 
 std::string MakeStreamEvent(const Completion& aCompletion, int aIndex)
@@ -267,6 +270,8 @@
          "\n\n";
 }
 
+/* Streams one event per token. The fault cut_streams ends the stream early, before the token
+ * cut_at. The fault silent_streams does so before the token silent_at, after 20 s without bytes. */
 void SendStream(Server* aServer,
                 const EnginePtr& aEngine,
                 const std::shared_ptr<Completion>& aCompletion,
@@ -301,6 +306,7 @@
     });
 }
 
+/* Answers with all tokens at once, after the time that they take. */
 void SendWholeAnswer(Server* aServer,
                      const EnginePtr& aEngine,
                      const Completion& aCompletion,
@@ -345,6 +351,8 @@
   return {};
 }
 
+/* Runs a completion request, or refuses it with status 503. X-Resume-Offset is the number of tokens
+ * that the caller already has. */
 void HandleCompletion(Server* aServer,
                       const EnginePtr& aEngine,
                       const httplib::Request& aRequest,
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -48,6 +48,7 @@
 class Table
 {
 public:
+  /* Returns a row. A row that does not exist has version 0 and no value. */
   json RowAsJson(const std::string& aKey) const
   {
     const auto found = mRows.find(aKey);
