--- a/bench/simulated_cell.cpp
+++ b/bench/simulated_cell.cpp
@@ -155,7 +155,7 @@
   pending.isStarted = true;
   pending.runner = aAction.endpoint;
   ++found->second.inFlight;
-  ++found->second.served;
+  ++found->second.startedRequests;
   ended.outcome = AttemptOutcome::kCompleted;
   Schedule(mNow + pending.arrival.serviceTime,
            [this, ended, model = found->first, id = aAction.endpoint] {
@@ -266,7 +266,7 @@
     case OrderKind::kUnloadModel: {
       const auto found = runner.models.find(model);
       if (found != runner.models.end()) {
-        mResult.wastedLoads += IsWarmUpOver() && found->second.served == 0 ? 1 : 0;
+        mResult.wastedLoads += IsWarmUpOver() && found->second.startedRequests == 0 ? 1 : 0;
         runner.models.erase(found);
         runner.checkpoints.remove(model);
         runner.checkpoints.push_front(model);
--- a/bench/simulated_cell.h
+++ b/bench/simulated_cell.h
@@ -49,17 +49,17 @@
   RunResult Run(const std::vector<Arrival>& aArrivals, Duration aLength);
 
 private:
-  struct LoadedReplica
+  struct SimulatedReplica
   {
     MemoryMb memory;
     bool ready = false; ///< Whether the load has ended.
     std::set<AdapterId> adapters;
     std::uint32_t inFlight = 0;
-    std::uint64_t served = 0;
+    std::uint64_t startedRequests = 0;
   };
   struct SimulatedRunner
   {
-    std::map<ModelId, LoadedReplica> models;
+    std::map<ModelId, SimulatedReplica> models;
     std::list<ModelId> checkpoints; ///< Kept in host memory; the one unloaded last is the first.
   };
   struct PendingRequest
