--- a/bench/latency.cpp
+++ b/bench/latency.cpp
@@ -1,4 +1,5 @@
-/* Measures what a daemon adds to a call of an engine: both paths side by side at a fixed rate. */
+/* Measures the latency that a daemon adds to a call of an engine. Sends the same requests to the
+ * engine and through the daemon, at the same time and at the same fixed rate. */
 #include <CLI/CLI.hpp>
 #include <httplib.h>
 #include <nlohmann/json.hpp>
@@ -22,12 +23,12 @@
   std::string daemon;
   std::string key;
   std::string model = "m0";
-  int rate = 500; ///< Requests a second on each path; 0 sends as fast as answers come.
+  int rate = 500; ///< Requests per second on each path. With 0, a thread sends after each answer.
   int seconds = 10;
   int threads = 32;
 };
 
-/* The latencies of one path in microseconds. */
+/* Latencies and failures of one path. */
 class Latencies
 {
 public:
@@ -38,16 +39,18 @@
   }
   void AddFailure() { ++mFailures; }
 
+  /* Returns counts and percentiles as JSON. Call it after all requests have ended. */
   nlohmann::json Summary()
   {
     std::sort(mValues.begin(), mValues.end());
-    const auto at = [this](double aShare) {
+    const auto percentile = [this](double aShare) {
       return mValues.empty() ? 0.0
                              : mValues[static_cast<std::size_t>(
                                  aShare * static_cast<double>(mValues.size() - 1))];
     };
-    return { { "count", mValues.size() }, { "failures", mFailures.load() }, { "p50_us", at(0.5) },
-             { "p90_us", at(0.9) },       { "p99_us", at(0.99) },           { "max_us", at(1.0) } };
+    return { { "count", mValues.size() },    { "failures", mFailures.load() },
+             { "p50_us", percentile(0.5) },  { "p90_us", percentile(0.9) },
+             { "p99_us", percentile(0.99) }, { "max_us", percentile(1.0) } };
   }
 
 private:
@@ -56,7 +59,7 @@
   std::atomic<int> mFailures{ 0 };
 };
 
-void Send(httplib::Client& aClient, const Options& aOptions, Latencies& aOut)
+void Send(httplib::Client& aClient, const Options& aOptions, Latencies& aLatencies)
 {
   const std::string body = nlohmann::json{
     { "model", aOptions.model },
@@ -67,36 +70,38 @@
   const auto started = Clock::now();
   const auto result = aClient.Post("/v1/chat/completions", headers, body, "application/json");
   if (result && result->status == 200) {
-    aOut.Add(Clock::now() - started);
+    aLatencies.Add(Clock::now() - started);
   } else {
-    aOut.AddFailure();
+    aLatencies.AddFailure();
   }
 }
 
-/* Sends on one path; each thread takes the next turn of a common schedule. */
-void Load(const Options& aOptions, const std::string& aAddress, Latencies& aOut)
+/* Sends requests on one path. Each thread has one connection and takes the next send time of a
+ * schedule that all threads share. The latency of a request counts from its sending, which is after
+ * its send time if all threads were busy then. */
+void SendRequests(const Options& aOptions, const std::string& aAddress, Latencies& aLatencies)
 {
   const auto start = Clock::now() + std::chrono::milliseconds{ 200 };
   const auto end = start + std::chrono::seconds{ aOptions.seconds };
-  std::atomic<int> turn{ 0 };
-  const auto work = [&] {
+  std::atomic<int> nextSendIndex{ 0 };
+  const auto sendOnSchedule = [&] {
     httplib::Client client("http://" + aAddress);
     client.set_keep_alive(true);
     client.set_tcp_nodelay(true);
     while (true) {
-      const auto due = aOptions.rate == 0
-                         ? Clock::now()
-                         : start + std::chrono::seconds{ 1 } * turn++ / aOptions.rate;
-      if (due >= end) {
+      const auto sendTime = aOptions.rate == 0
+                              ? Clock::now()
+                              : start + std::chrono::seconds{ 1 } * nextSendIndex++ / aOptions.rate;
+      if (sendTime >= end) {
         return;
       }
-      std::this_thread::sleep_until(due);
-      Send(client, aOptions, aOut);
+      std::this_thread::sleep_until(sendTime);
+      Send(client, aOptions, aLatencies);
     }
   };
   std::vector<std::thread> threads;
   for (int index = 0; index < aOptions.threads; ++index) {
-    threads.emplace_back(work);
+    threads.emplace_back(sendOnSchedule);
   }
   for (std::thread& thread : threads) {
     thread.join();
@@ -108,25 +113,28 @@
 int main(int aArgc, char** aArgv)
 {
   Options options;
-  CLI::App app{ "Measures the latency that a daemon adds." };
-  app.add_option("--direct", options.direct, "host:port of the engine; empty for none");
+  CLI::App app{ "Measures the latency that a daemon adds to a call of an engine." };
+  app.add_option(
+    "--direct", options.direct, "host:port of the engine; if empty, only the daemon is called");
   app.add_option("--daemon", options.daemon, "host:port of the daemon")->required();
-  app.add_option("--key", options.key, "API key")->required();
-  app.add_option("--model", options.model, "Model that is loaded");
-  app.add_option("--rate", options.rate, "Requests a second on each path; 0 for no pause");
-  app.add_option("--seconds", options.seconds, "Length of the run");
-  app.add_option("--threads", options.threads, "Connections on each path");
+  app.add_option("--key", options.key, "API key of a customer")->required();
+  app.add_option("--model", options.model, "Model of the requests; it must be loaded");
+  app.add_option("--rate",
+                 options.rate,
+                 "Requests per second on each path; with 0, each thread sends after each answer");
+  app.add_option("--seconds", options.seconds, "Duration of the run in seconds");
+  app.add_option("--threads", options.threads, "Threads on each path, with one connection each");
   CLI11_PARSE(app, aArgc, aArgv);
 
   Latencies direct;
   Latencies daemon;
-  std::thread other;
+  std::thread directThread;
   if (!options.direct.empty()) {
-    other = std::thread([&] { Load(options, options.direct, direct); });
+    directThread = std::thread([&] { SendRequests(options, options.direct, direct); });
   }
-  Load(options, options.daemon, daemon);
-  if (other.joinable()) {
-    other.join();
+  SendRequests(options, options.daemon, daemon);
+  if (directThread.joinable()) {
+    directThread.join();
   }
   std::cout << nlohmann::json{
     { "direct", direct.Summary() }, { "daemon", daemon.Summary() }
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -1,4 +1,5 @@
-/* Stand-in for a model engine. */
+/* Stand-in for a model engine. It carries out orders of the lease holder, and answers completions
+ * with generated text. */
 #include "standin/standin.h"
 
 #include <algorithm>
@@ -14,23 +15,24 @@
 namespace {
 
 constexpr int kDefaultTokens = 16;
-constexpr const char* kCrashWord = "CRASH-THE-ENGINE";
+/* A completion request whose body contains this text ends the engine's process. */
+constexpr const char* kCrashPrompt = "CRASH-THE-ENGINE";
 
 struct Model
 {
   std::string version;
-  long memory = 0;
+  long memoryMb = 0;
   bool ready = false;
   std::set<std::string> adapters;
   int running = 0;
 };
 
-/* The engine's state; every member is guarded by the mutex. */
+/* The state of the engine. The mutex guards all members that change. */
 struct Engine
 {
   explicit Engine(const Options& aOptions)
     : options(aOptions)
-    , boot(std::to_string(std::random_device{}()))
+    , bootId(std::to_string(std::random_device{}()))
   {
   }
 
@@ -44,31 +46,31 @@
                        { "adapters", model.adapters },
                        { "running", model.running } });
     }
-    return { { "bootId", boot },
+    return { { "bootId", bootId },
              { "memory", options.memoryMb },
              { "models", list },
              { "running", running },
-             { "queued", waiting.size() } };
+             { "queued", waitingPriorities.size() } };
   }
 
-  long Used() const
+  long UsedMemoryMb() const
   {
-    long used = 0;
+    long usedMb = 0;
     for (const auto& [id, model] : models) {
-      used += model.memory;
+      usedMb += model.memoryMb;
     }
-    return used;
+    return usedMb;
   }
 
   Options options;
-  std::string boot;
+  std::string bootId;
   std::mutex mutex;
-  std::condition_variable changed;
+  std::condition_variable stateChanged;
   std::map<std::string, Model> models;
-  std::map<std::string, std::string> orders; ///< State by order id.
-  std::uint64_t fence = 0;
-  int running = 0;
-  std::multiset<int> waiting; ///< Priorities of waiting requests.
+  std::map<std::string, std::string> orders; ///< State of each order, by its id.
+  std::uint64_t highestFence = 0;            ///< Highest fencing token of the executed orders.
+  int running = 0;                           ///< Requests that run, of all models.
+  std::multiset<int> waitingPriorities;      ///< Priorities of the requests that wait for a slot.
   bool isLeaving = false;
 };
 
@@ -79,27 +81,29 @@
   return { { "order", aOrder }, { "state", aState }, { "inventory", aEngine.Inventory() } };
 }
 
-void FetchFromStore(const Options& aOptions, long aMb)
+/* Waits for the load of a checkpoint from the weight store of the platform. */
+void LoadFromStore(const Options& aOptions, long aMb)
 {
   httplib::Client client("http://" + aOptions.platform);
   client.set_read_timeout(std::chrono::seconds{ 600 });
   client.Post("/store/load", json{ { "mb", aMb } }.dump(), "application/json");
 }
 
+/* Adds the model to the engine, and marks it as ready once it has been loaded in the background. */
 void StartLoad(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
 {
   const std::string id = aOrder.at("model");
   const std::string order = aOrder.at("order");
   Model& model = aEngine->models[id];
   model.version = aOrder.value("version", "1");
-  model.memory = aOrder.value("memory", 0L);
+  model.memoryMb = aOrder.value("memory", 0L);
   aServer->journal.Add({ { "what", "load" },
                          { "model", id },
                          { "order", order },
-                         { "used_mb", aEngine->Used() },
+                         { "used_mb", aEngine->UsedMemoryMb() },
                          { "memory_mb", aEngine->options.memoryMb } });
-  std::thread([aServer, aEngine, id, order, mb = model.memory] {
-    FetchFromStore(aEngine->options, mb);
+  std::thread([aServer, aEngine, id, order, memoryMb = model.memoryMb] {
+    LoadFromStore(aEngine->options, memoryMb);
     {
       const std::lock_guard lock(aEngine->mutex);
       const auto found = aEngine->models.find(id);
@@ -109,12 +113,12 @@
       aEngine->orders[order] = "done";
       aServer->journal.Add({ { "what", "ready" }, { "model", id } });
     }
-    aEngine->changed.notify_all();
+    aEngine->stateChanged.notify_all();
   }).detach();
 }
 
-/* Carries out an order that is new; returns its state. */
-std::string CarryOut(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
+/* Carries out an order that the engine has not seen before. Returns its state. */
+std::string ExecuteOrder(Server* aServer, const EnginePtr& aEngine, const json& aOrder)
 {
   const std::string kind = aOrder.at("kind");
   const std::string id = aOrder.value("model", "");
@@ -123,8 +127,9 @@
     if (engine.models.contains(id)) {
       return engine.models[id].ready ? "done" : "running";
     }
-    const bool isOver = engine.Used() + aOrder.value("memory", 0L) > engine.options.memoryMb;
-    if (isOver) {
+    const bool exceedsMemory =
+      engine.UsedMemoryMb() + aOrder.value("memory", 0L) > engine.options.memoryMb;
+    if (exceedsMemory) {
       aServer->journal.Add({ { "what", "overcommit" }, { "model", id } });
       return "no_memory";
     }
@@ -154,6 +159,8 @@
   return "done";
 }
 
+/* Executes an order unless its fencing token is outdated. A repeated order gets the state of the
+ * first one. */
 void PostOrder(Server* aServer,
                const EnginePtr& aEngine,
                const httplib::Request& aRequest,
@@ -166,51 +173,54 @@
   {
     const std::lock_guard lock(aEngine->mutex);
     const std::uint64_t fence = order.value("fence", std::uint64_t{ 0 });
-    const auto known = aEngine->orders.find(id);
-    if (aEngine->options.checksFence && fence < aEngine->fence) {
+    const auto knownOrder = aEngine->orders.find(id);
+    if (aEngine->options.checksFence && fence < aEngine->highestFence) {
       state = "fenced";
-    } else if (known != aEngine->orders.end()) {
-      state = known->second;
+    } else if (knownOrder != aEngine->orders.end()) {
+      state = knownOrder->second;
     } else {
-      aEngine->fence = std::max(aEngine->fence, fence);
-      state = CarryOut(aServer, aEngine, order);
+      aEngine->highestFence = std::max(aEngine->highestFence, fence);
+      state = ExecuteOrder(aServer, aEngine, order);
       if (order.at("kind") != "inventory") {
         aEngine->orders[id] = state;
       }
     }
     aResponse.set_content(OrderReply(*aEngine, id, state).dump(), "application/json");
   }
-  if (aServer->faults.Take("order_lose_answers")) {
+  if (aServer->faults.Consume("order_lose_answers")) {
     LoseAnswer(aResponse);
   }
 }
 
-void FollowOrder(const EnginePtr& aEngine,
-                 const httplib::Request& aRequest,
-                 httplib::Response& aResponse)
+/* Answers with the state of an order. Waits up to wait_ms while the order is running. */
+void WaitForOrder(const EnginePtr& aEngine,
+                  const httplib::Request& aRequest,
+                  httplib::Response& aResponse)
 {
   const std::string id = aRequest.matches[1];
   const auto wait =
     std::chrono::milliseconds{ std::atol(aRequest.get_param_value("wait_ms").c_str()) };
   std::unique_lock lock(aEngine->mutex);
-  aEngine->changed.wait_for(lock, wait, [&] { return aEngine->orders[id] != "running"; });
+  aEngine->stateChanged.wait_for(lock, wait, [&] { return aEngine->orders[id] != "running"; });
   const std::string state = aEngine->orders[id].empty() ? "failed" : aEngine->orders[id];
   aResponse.set_content(OrderReply(*aEngine, id, state).dump(), "application/json");
 }
 
-/* Takes a place in the batch; lower numbers go first. */
-void EnterBatch(Engine& aEngine, int aPriority)
+/* Waits for a slot, and occupies it. Requests with lower priority numbers get slots first. */
+void AcquireSlot(Engine& aEngine, int aPriority)
 {
   std::unique_lock lock(aEngine.mutex);
-  const auto place = aEngine.waiting.insert(aPriority);
-  aEngine.changed.wait(lock, [&] {
-    return aEngine.running < aEngine.options.slots && *aEngine.waiting.begin() >= aPriority;
+  const auto waitingEntry = aEngine.waitingPriorities.insert(aPriority);
+  aEngine.stateChanged.wait(lock, [&] {
+    return aEngine.running < aEngine.options.slots &&
+           *aEngine.waitingPriorities.begin() >= aPriority;
   });
-  aEngine.waiting.erase(place);
+  aEngine.waitingPriorities.erase(waitingEntry);
   ++aEngine.running;
 }
 
-void LeaveBatch(Engine& aEngine, const std::string& aModel)
+/* Frees the slot of a request that has ended. */
+void ReleaseSlot(Engine& aEngine, const std::string& aModel)
 {
   {
     const std::lock_guard lock(aEngine.mutex);
@@ -220,10 +230,11 @@
       --found->second.running;
     }
   }
-  aEngine.changed.notify_all();
+  aEngine.stateChanged.notify_all();
 }
 
-/* The text of a token depends on the prompt and its place only, on every engine alike. */
+/* Returns the text of a token. It depends only on the prompt and on the index of the token, so that
+ * every engine gives the same answer and can resume a stream of another one. */
 std::string TokenText(std::size_t aPromptHash, int aIndex)
 {
   return "w" + std::to_string((aPromptHash + static_cast<std::size_t>(aIndex) * 7'919) % 10'000) +
@@ -236,87 +247,96 @@
                                     : aBody.value("prompt", json("")).dump();
 }
 
-/* One completion that is running. */
-struct Run
+/* A completion that is in progress. */
+struct Completion
 {
   std::string id;
   std::string model;
-  std::size_t hash = 0;
+  std::size_t promptHash = 0;
   int tokens = kDefaultTokens;
-  int next = 0;
+  int nextToken = 0; ///< Index of the next token to send.
 };
 
-std::string EventOf(const Run& aRun, int aIndex)
+std::string MakeStreamEvent(const Completion& aCompletion, int aIndex)
 {
-  const json delta{ { "content", TokenText(aRun.hash, aIndex) } };
+  const json delta{ { "content", TokenText(aCompletion.promptHash, aIndex) } };
   const json choice{ { "index", 0 }, { "delta", delta } };
   return "data: " +
          json{
-           { "id", aRun.id }, { "object", "chat.completion.chunk" }, { "choices", { choice } }
+           { "id", aCompletion.id },
+           { "object", "chat.completion.chunk" },
+           { "choices", { choice } }
          }.dump() +
          "\n\n";
 }
 
-void AnswerStream(Server* aServer,
-                  const EnginePtr& aEngine,
-                  const std::shared_ptr<Run>& aRun,
-                  httplib::Response& aResponse)
+/* Streams one event per token. The fault cut_streams ends the stream early, before the token
+ * cut_at. The fault silent_streams does so before the token silent_at, after 20 s without bytes. */
+void SendStream(Server* aServer,
+                const EnginePtr& aEngine,
+                const std::shared_ptr<Completion>& aCompletion,
+                httplib::Response& aResponse)
 {
   aResponse.set_chunked_content_provider(
     "text/event-stream",
     [=](std::size_t, httplib::DataSink& aSink) {
-      if (aRun->next >= aRun->tokens) {
+      if (aCompletion->nextToken >= aCompletion->tokens) {
         const std::string end = "data: [DONE]\n\n";
         aSink.write(end.data(), end.size());
         aSink.done();
         return true;
       }
-      if (aRun->next == aServer->faults.Value("cut_at") && aServer->faults.Take("cut_streams")) {
+      if (aCompletion->nextToken == aServer->faults.Value("cut_at") &&
+          aServer->faults.Consume("cut_streams")) {
         return false;
       }
-      if (aRun->next == aServer->faults.Value("silent_at") &&
-          aServer->faults.Take("silent_streams")) {
+      if (aCompletion->nextToken == aServer->faults.Value("silent_at") &&
+          aServer->faults.Consume("silent_streams")) {
         std::this_thread::sleep_for(std::chrono::seconds{ 20 });
         return false;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds{ aEngine->options.tokenMs });
-      const std::string event = EventOf(*aRun, aRun->next++);
+      const std::string event = MakeStreamEvent(*aCompletion, aCompletion->nextToken++);
       return aSink.write(event.data(), event.size());
     },
-    [=](bool aIsWhole) {
-      aServer->journal.Add({ { "what", "end" }, { "request", aRun->id }, { "whole", aIsWhole } });
-      LeaveBatch(*aEngine, aRun->model);
+    [=](bool aIsComplete) {
+      aServer->journal.Add(
+        { { "what", "end" }, { "request", aCompletion->id }, { "whole", aIsComplete } });
+      ReleaseSlot(*aEngine, aCompletion->model);
     });
 }
 
-void AnswerWhole(Server* aServer,
-                 const EnginePtr& aEngine,
-                 const Run& aRun,
-                 httplib::Response& aResponse)
+/* Answers with all tokens at once, after the time that they take. */
+void SendWholeAnswer(Server* aServer,
+                     const EnginePtr& aEngine,
+                     const Completion& aCompletion,
+                     httplib::Response& aResponse)
 {
-  std::this_thread::sleep_for(std::chrono::milliseconds{ aEngine->options.tokenMs * aRun.tokens });
+  std::this_thread::sleep_for(
+    std::chrono::milliseconds{ aEngine->options.tokenMs * aCompletion.tokens });
   std::string text;
-  for (int index = 0; index < aRun.tokens; ++index) {
-    text += TokenText(aRun.hash, index);
+  for (int index = 0; index < aCompletion.tokens; ++index) {
+    text += TokenText(aCompletion.promptHash, index);
   }
   const json choice{ { "index", 0 },
                      { "message", { { "role", "assistant" }, { "content", text } } } };
-  aResponse.set_content(json{ { "id", aRun.id },
+  aResponse.set_content(json{ { "id", aCompletion.id },
                               { "object", "chat.completion" },
-                              { "model", aRun.model },
+                              { "model", aCompletion.model },
                               { "choices", { choice } },
-                              { "usage", { { "completion_tokens", aRun.tokens } } } }
+                              { "usage", { { "completion_tokens", aCompletion.tokens } } } }
                           .dump(),
                         "application/json");
-  aServer->journal.Add({ { "what", "end" }, { "request", aRun.id }, { "whole", true } });
-  LeaveBatch(*aEngine, aRun.model);
-  if (aServer->faults.Take("lose_answers")) {
+  aServer->journal.Add({ { "what", "end" }, { "request", aCompletion.id }, { "whole", true } });
+  ReleaseSlot(*aEngine, aCompletion.model);
+  if (aServer->faults.Consume("lose_answers")) {
     LoseAnswer(aResponse);
   }
 }
 
-/* Returns why a request is not run, or an empty text. */
-std::string RefusalOf(Engine& aEngine, const std::string& aModel, const std::string& aAdapter)
+/* Counts the request as running on its model and returns an empty string, or returns the reason for
+ * which the request is refused. */
+std::string AdmitRequest(Engine& aEngine, const std::string& aModel, const std::string& aAdapter)
 {
   const std::lock_guard lock(aEngine.mutex);
   if (aEngine.isLeaving) {
@@ -331,51 +351,54 @@
   return {};
 }
 
-void Complete(Server* aServer,
-              const EnginePtr& aEngine,
-              const httplib::Request& aRequest,
-              httplib::Response& aResponse)
+/* Runs a completion request, or refuses it with status 503. X-Resume-Offset is the number of tokens
+ * that the caller already has. */
+void HandleCompletion(Server* aServer,
+                      const EnginePtr& aEngine,
+                      const httplib::Request& aRequest,
+                      httplib::Response& aResponse)
 {
   const json body = json::parse(aRequest.body);
   const std::string name = body.at("model");
   const auto colon = name.find(':');
-  const auto run = std::make_shared<Run>();
-  run->id = aRequest.get_header_value("X-Request-Id");
-  run->model = name.substr(0, colon);
-  run->hash = std::hash<std::string>{}(PromptOf(body));
-  run->tokens = body.value("max_tokens", kDefaultTokens);
-  run->next = std::atoi(aRequest.get_header_value("X-Resume-Offset").c_str());
-  const std::string refusal =
-    RefusalOf(*aEngine, run->model, colon == std::string::npos ? "" : name.substr(colon + 1));
+  const auto completion = std::make_shared<Completion>();
+  completion->id = aRequest.get_header_value("X-Request-Id");
+  completion->model = name.substr(0, colon);
+  completion->promptHash = std::hash<std::string>{}(PromptOf(body));
+  completion->tokens = body.value("max_tokens", kDefaultTokens);
+  completion->nextToken = std::atoi(aRequest.get_header_value("X-Resume-Offset").c_str());
+  const std::string refusal = AdmitRequest(
+    *aEngine, completion->model, colon == std::string::npos ? "" : name.substr(colon + 1));
   aResponse.set_header("X-Request-Id",
-                       aServer->faults.Take("crossed_answers") ? "another" : run->id);
+                       aServer->faults.Consume("crossed_answers") ? "another" : completion->id);
   if (!refusal.empty()) {
-    aServer->journal.Add({ { "what", "refused" }, { "request", run->id }, { "why", refusal } });
+    aServer->journal.Add(
+      { { "what", "refused" }, { "request", completion->id }, { "why", refusal } });
     aResponse.status = 503;
     aResponse.set_header("X-Refusal", refusal);
     return;
   }
-  aResponse.set_header("X-Resume-Offset", std::to_string(run->next));
-  EnterBatch(*aEngine, std::atoi(aRequest.get_header_value("X-Priority").c_str()));
+  aResponse.set_header("X-Resume-Offset", std::to_string(completion->nextToken));
+  AcquireSlot(*aEngine, std::atoi(aRequest.get_header_value("X-Priority").c_str()));
   aServer->journal.Add({ { "what", "run" },
-                         { "request", run->id },
-                         { "model", run->model },
-                         { "offset", run->next },
+                         { "request", completion->id },
+                         { "model", completion->model },
+                         { "offset", completion->nextToken },
                          { "prompt", PromptOf(body) } });
-  if (aRequest.body.find(kCrashWord) != std::string::npos) {
+  if (aRequest.body.find(kCrashPrompt) != std::string::npos) {
     std::this_thread::sleep_for(std::chrono::milliseconds{ 30 });
     std::_Exit(70);
   }
   if (body.value("stream", false)) {
-    AnswerStream(aServer, aEngine, run, aResponse);
+    SendStream(aServer, aEngine, completion, aResponse);
   } else {
-    AnswerWhole(aServer, aEngine, *run, aResponse);
+    SendWholeAnswer(aServer, aEngine, *completion, aResponse);
   }
 }
 
 } // namespace
 
-void AddEngine(Server& aServer, const Options& aOptions)
+void AddEngineRoutes(Server& aServer, const Options& aOptions)
 {
   const auto engine = std::make_shared<Engine>(aOptions);
   Server* server = &aServer;
@@ -384,7 +407,7 @@
   });
   aServer.http.Get(R"(/orders/([^/]+))",
                    [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-                     FollowOrder(engine, aRequest, aResponse);
+                     WaitForOrder(engine, aRequest, aResponse);
                    });
   aServer.http.Get("/inventory", [=](const httplib::Request&, httplib::Response& aResponse) {
     const std::lock_guard lock(engine->mutex);
@@ -395,7 +418,7 @@
     engine->isLeaving = true;
   });
   const auto complete = [=](const httplib::Request& aRequest, httplib::Response& aResponse) {
-    Complete(server, engine, aRequest, aResponse);
+    HandleCompletion(server, engine, aRequest, aResponse);
   };
   aServer.http.Post("/v1/chat/completions", complete);
   aServer.http.Post("/v1/completions", complete);
