--- a/python/rhubarbtrail_config/__init__.py
+++ b/python/rhubarbtrail_config/__init__.py
@@ -1,7 +1,8 @@
 """Builds rhubarbtrail configuration documents.
 
-A program declares services, models, request classes and customers, and prints the document:
-wrong values fail where they are written.
+A program declares services, models, request classes and customers, and prints the document. A
+wrong value raises ValueError or TypeError in the constructor that it is passed to, or in add().
+References that may point forward are checked by to_yaml().
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def key_hash(key: str) -> str:
-    """Returns what a document stores of an API key: its SHA-256."""
+    """Returns the SHA-256 of an API key in hex, which a document has in place of the key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -30,7 +31,7 @@
 
 
 def _check_number(low: float, high: float, **values: float) -> None:
-    """Refuses what is no whole number, or no number where the bounds have fractions."""
+    """Checks the type and the bounds of numbers; a float is accepted only if low is a float."""
     kinds = (int, float) if isinstance(low, float) else (int,)
     for name, value in values.items():
         if not isinstance(value, kinds) or isinstance(value, bool):
@@ -56,7 +57,7 @@
 
 
 class _Dumper(yaml.SafeDumper):
-    """Writes values out where YAML would put an alias."""
+    """Writes repeated values in full, where YAML would write an alias."""
 
     def ignore_aliases(self, data: Any) -> bool:
         return True
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True)
 class FixedKeepAlive:
-    """Unloads a replica that was idle for a fixed time."""
+    """Unloads a replica that has been idle for a fixed time."""
 
     idle_limit_ms: int = 60_000
 
@@ -77,7 +78,10 @@
 
 @dataclass(frozen=True)
 class HistogramKeepAlive:
-    """Unloads a replica after a percentile of the idle times seen for its model."""
+    """Unloads a replica after a percentile of the observed idle times of its model.
+
+    The time is kept between minimum_ms and maximum_ms.
+    """
 
     percentile: int = 90
     minimum_ms: int = 5_000
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True)
 class CostAwareKeepAlive:
-    """Weighs the cold start that is avoided against the memory that is held."""
+    """Weighs the cost of a cold start against the memory that an idle replica occupies."""
 
     cold_start_weight: float = 1.0
 
@@ -116,7 +120,7 @@
 
 @dataclass(frozen=True)
 class Store:
-    """Limits of the weight store."""
+    """Limits on loads from the store of model weights."""
 
     concurrent_loads: int = 4
     loads_per_second: float = 4.0
@@ -137,7 +141,10 @@
 
 @dataclass(frozen=True)
 class ModelService:
-    """A service whose runners load models on order."""
+    """A service whose runners load models on the orders of the daemons.
+
+    orders is "checked" if the runners check the fencing token of each order.
+    """
 
     name: str
     orders: Literal["checked", "unchecked"] = "checked"
@@ -177,7 +184,10 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Assigns a request class to the calls under a path."""
+    """Assigns a request class to the requests whose path starts with path.
+
+    Without method the route applies to all methods.
+    """
 
     path: str
     request_class: str
@@ -201,7 +211,10 @@
 
 @dataclass(frozen=True)
 class PlainService:
-    """A service that answers HTTP calls and takes no orders."""
+    """A service whose endpoints answer HTTP requests and load no models.
+
+    The first route that matches a request applies.
+    """
 
     name: str
     routes: list[Route]
@@ -231,7 +244,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A model, with the memory of each of its adapters."""
+    """A model; adapters has the memory of each adapter in MB by name."""
 
     name: str
     service: str
@@ -266,7 +279,10 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """How urgent a kind of request is, and whether it may run twice."""
+    """The priority and the deadline of a class of requests, and whether they may run twice.
+
+    Priority 0 is the most urgent.
+    """
 
     name: str
     priority: int = 1
@@ -285,7 +301,7 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Who may call what, with the hashes of its API keys."""
+    """A customer with the hashes of its API keys, and the models and services that it may use."""
 
     name: str
     key_hashes: list[str]
@@ -320,7 +336,7 @@
 
 
 class Configuration:
-    """A whole configuration; add() refuses names that appear twice."""
+    """A complete configuration. add() raises ValueError for a name that appears twice."""
 
     def __init__(self) -> None:
         self._parts: dict[str, dict[str, Any]] = {
@@ -353,7 +369,10 @@
         return self
 
     def _check_model(self, model: Model) -> None:
-        """A model's service comes before it, and has room for it."""
+        """Checks that the service was added before its model and that the model fits a runner.
+
+        The model has to fit together with all of its adapters.
+        """
         service = self._parts["services"].get(model.service)
         if service is None or service["kind"] != "models":
             raise ValueError(f"{model.name}: there is no model service {model.service!r} yet")
@@ -368,7 +387,7 @@
                 raise ValueError(f"{customer.name}: shares a key with {name}")
 
     def _check_references(self) -> None:
-        """Checks the references that may point forward."""
+        """Checks the references that may name a part added later."""
         for name, service in self._parts["services"].items():
             for route in service.get("routes", []):
                 if route["class"] not in self._parts["classes"]:
@@ -385,6 +404,6 @@
             raise ValueError("the class 'default' is needed for requests that name none")
 
     def to_yaml(self) -> str:
-        """Returns the document."""
+        """Returns the document. Raises ValueError for a reference to a missing part."""
         self._check_references()
         return yaml.dump(self._parts, Dumper=_Dumper, sort_keys=False)
