--- a/demo/local_cluster.py
+++ b/demo/local_cluster.py
@@ -1,4 +1,4 @@
-"""Starts daemons and stand-ins on loopback, and stops what it started."""
+"""Runs daemons and platform stand-ins on loopback, for the demo, the tests and the benchmarks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Process:
-    """A process that the cluster started, with its addresses."""
+    """A started daemon or stand-in, with the addresses that it listens on by kind of port."""
 
     name: str
     popen: subprocess.Popen
@@ -48,6 +48,8 @@
 
 @dataclass
 class Answer:
+    """An HTTP response with lower-case header names and the time until its last byte."""
+
     status: int
     headers: dict[str, str]
     body: bytes
@@ -65,7 +67,11 @@
     headers: Optional[dict[str, str]] = None,
     timeout: float = 60.0,
 ) -> Answer:
-    """Makes one HTTP call; a body that is not bytes is sent as JSON."""
+    """Sends one HTTP request on a new connection; a body that is not bytes is sent as JSON.
+
+    timeout limits each socket operation, in seconds. Raises OSError or HTTPException without a
+    complete response.
+    """
     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
     connection = http.client.HTTPConnection(address, timeout=timeout)
     started = time.monotonic()
@@ -86,7 +92,11 @@
 
 
 def wait_until(check, timeout: float = START_TIMEOUT_S, what: str = "condition") -> None:
-    """Polls until check() is true; the limit only bounds a test that has failed."""
+    """Polls check() every 20 ms until it is true; a check that raises OSError counts as false.
+
+    Raises TimeoutError after timeout seconds. The timeout is no measure of speed: it only ends a
+    test that has failed.
+    """
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         try:
@@ -95,11 +105,14 @@
         except OSError:
             pass
         time.sleep(0.02)
-    raise TimeoutError(f"{what} did not come within {timeout} s")
+    raise TimeoutError(f"timed out after {timeout} s waiting for {what}")
 
 
 class Cluster:
-    """Stand-ins and daemons in a directory of their own."""
+    """Stand-ins and daemons whose settings and logs are in a temporary directory.
+
+    Stops the processes and removes the directory at the end of a with block.
+    """
 
     def __init__(self, build: Path = ROOT / "build") -> None:
         self._build = build
@@ -128,6 +141,7 @@
         self._directory.cleanup()
 
     def _spawn(self, name: str, command: list[str], address_file: Path) -> Process:
+        """Starts a process and waits until it has written its addresses to address_file."""
         address_file.unlink(missing_ok=True)
         log = self.path / f"{name}.log"
         with log.open("ab") as output:
@@ -138,7 +152,7 @@
             lambda: address_file.exists() or popen.poll() is not None, what=f"start of {name}"
         )
         if popen.poll() is not None:
-            raise RuntimeError(f"{name} ended at once: {log.read_text()}")
+            raise RuntimeError(f"{name} exited at start with {popen.returncode}: {log.read_text()}")
         for line in address_file.read_text().splitlines():
             kind, _, address = line.rpartition(": ")
             process.addresses[kind or "address"] = address
@@ -159,6 +173,10 @@
     def start_endpoint(
         self, name: str, role: str, service: str, zone: str = "a", *options: str
     ) -> Process:
+        """Starts the stand-in of an endpoint and puts it on the host list.
+
+        The process id serves as boot id, so that a restart under the same name has a new one.
+        """
         file = self.path / f"{name}.address"
         command = [str(self._build / "standin"), role, "--id", name, "--address-file", str(file)]
         process = self._spawn(
@@ -192,6 +210,7 @@
         call(self.platform.address, "POST", "/admin/hosts", {"remove": [name]})
 
     def start_daemon(self, name: str, zone: str = "a", **settings: Any) -> Process:
+        """Starts a daemon and puts it on the host list; settings override the defaults below."""
         file = self.path / f"{name}.address"
         values = {
             "daemon_id": name,
@@ -216,6 +235,7 @@
         return process
 
     def apply(self, daemon: Process, document: str, based_on: int) -> Answer:
+        """Submits a configuration document; based_on is the version that it replaces."""
         return call(
             daemon.addresses["admin"],
             "POST",
@@ -232,6 +252,7 @@
             )
 
     def dump(self, daemon: Process) -> dict[str, str]:
+        """Returns the internal state that the daemon reports on its admin port, by path."""
         answer = call(
             daemon.addresses["admin"],
             "GET",
@@ -241,9 +262,11 @@
         return {entry["path"]: entry["value"] for entry in answer.json()}
 
     def fault(self, process: Process, **faults: int) -> None:
+        """Sets faults of a stand-in by name; 0 switches a fault off."""
         call(process.address, "POST", "/admin/fault", faults)
 
     def journal(self, process: Process) -> list[dict[str, Any]]:
+        """Returns the events that a stand-in has recorded, such as loads and runs."""
         return call(process.address, "GET", "/journal").json()
 
 
--- a/demo/run_demo.py
+++ b/demo/run_demo.py
@@ -1,4 +1,9 @@
-"""Shows the whole path on loopback, for both deployments at their full sizes."""
+"""Runs both example deployments on loopback and sends requests through their daemons.
+
+Each deployment has 9 runners, 3 plain endpoints and 3 daemons. The demo shows how a configuration
+is applied, a cold and a warm model, a stream, an adapter, a replayed order and a wrong key. Exits
+with 1 if an answer is not as expected.
+"""
 
 from __future__ import annotations
 
@@ -36,6 +41,7 @@
 
 def run(title: str, document: str, models: str, plain: str, key: str, model: str, order: str,
         adapter: str, checks_fence: bool) -> bool:
+    """Runs one deployment and returns whether every answer was as expected."""
     print(f"{title}: 9 runners of '{models}', 3 endpoints of '{plain}', 3 daemons")
     with Cluster() as cluster:
         cluster.start_platform()
--- a/tests/edge/edge_cluster.py
+++ b/tests/edge/edge_cluster.py
@@ -1,4 +1,7 @@
-"""Daemons of the users' platform as separate processes, and a client that judges what it gets."""
+"""Runs edge daemons as processes with a platform stand-in.
+
+Sends requests to the daemons and checks the answers.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +24,16 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 BINARY = ROOT / os.environ.get("BUILD", "build") / "rhubarbtrail"
 START_LIMIT_S = 20.0
-# The C library fills memory that is given back, so that its use afterwards ends the process.
+# Makes the C library overwrite freed memory, so that a use after free is likely to crash the
+# daemon.
 USE_AFTER_FREE_SHOWS = {"MALLOC_PERTURB_": "165"}
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that the kernel chose and nobody uses now."""
+    """Returns distinct free ports on loopback.
+
+    The ports are released on return, so another process may take one before the caller binds it.
+    """
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(("127.0.0.1", 0))
@@ -38,17 +45,18 @@
 
 @dataclass
 class Result:
-    """What a client saw of one request."""
+    """The answer to one request as its client got it."""
 
     id: str
     kind: str
-    status: int = 0  # 0: no whole answer.
+    status: int = 0  # 0 when the connection failed before the end of the answer.
     body: bytes = b""
     fields: dict[str, str] = field(default_factory=dict)
     seconds: float = 0.0
 
     @property
     def is_whole(self) -> bool:
+        """Whether the answer is a success with all events in order, or with the expected body."""
         if self.status != 200:
             return False
         if self.kind in ("chat", "draft"):
@@ -58,7 +66,7 @@
 
 
 class Daemon:
-    """One process of the daemon."""
+    """An edge daemon with its settings, its log and its process."""
 
     def __init__(self, name: str, store_port: int, folder: Path, grace_s: float = 4.0) -> None:
         self.name = name
@@ -77,7 +85,7 @@
 retry_slack: 1000
 """)
         self.popen: Optional[subprocess.Popen] = None
-        self.lock = threading.Lock()  # Held by whoever ends or freezes the process.
+        self.lock = threading.Lock()  # Held while a thread ends or stops the process.
         self.start()
 
     def start(self) -> None:
@@ -134,7 +142,11 @@
 
 
 class EdgeCluster:
-    """A platform and daemons before it; ends what it started."""
+    """A platform stand-in and edge daemons.
+
+    Entering a with block waits until all daemons are ready and one of them may send orders. Leaving
+    the block stops the daemons and the platform.
+    """
 
     def __init__(self, daemons: int = 2, grace_s: float = 4.0, **platform: int) -> None:
         self.folder = tempfile.TemporaryDirectory()
@@ -144,7 +156,7 @@
 
     def __enter__(self) -> "EdgeCluster":
         self.wait(lambda: all(daemon.is_ready() for daemon in self.daemons), "readiness")
-        self.wait(self.has_orders, "a daemon that gives orders")
+        self.wait(self.has_orders, "a daemon that may send orders")
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -154,10 +166,12 @@
         self.folder.cleanup()
 
     def has_orders(self) -> bool:
+        """Returns whether a daemon has ever logged that it may send orders to runners."""
         return any('"event":"orders_allowed"' in daemon.log.read_text()
                    for daemon in self.daemons)
 
     def holder(self) -> Daemon:
+        """Returns the daemon that runs the dispatcher."""
         return next(daemon for daemon in self.daemons
                     if "rhubarbtrail_dispatcher 1" in daemon.fetch("/metrics"))
 
@@ -165,23 +179,27 @@
     def wait(condition, what: str, limit_s: float = START_LIMIT_S) -> None:
         end = time.monotonic() + limit_s
         while not condition():
-            assert time.monotonic() < end, f"waited in vain for {what}"
+            assert time.monotonic() < end, f"timed out after {limit_s} s waiting for {what}"
             time.sleep(0.05)
 
     def runs(self, result: Result) -> int:
         return len(self.platform.runs.get(result.id, []))
 
     def judge(self, result: Result) -> Optional[str]:
-        """Returns which promise an answer breaks, or nothing."""
+        """Returns how an answer violates the guarantees of the daemon, or None.
+
+        A payment or a draft runs at most once, a refused request does not run, and a success is
+        complete and signed. The requests of the tests are valid, so none is denied.
+        """
         runs = self.platform.runs.get(result.id, [])
         if result.kind in ("pay", "draft") and len(runs) > 1:
             return f"{result.kind} {result.id} ran {len(runs)} times"
         if result.status in (408, 421, 429, 503) and runs:
             return f"{result.kind} {result.id} was refused with {result.status} and ran"
         if result.status == 200 and not result.is_whole:
-            return f"{result.kind} {result.id} got an answer that is not whole: {result.body!r}"
+            return f"{result.kind} {result.id} got an incomplete answer: {result.body!r}"
         if result.status == 200 and "x-response-signature" not in result.fields:
-            return f"{result.kind} {result.id} got a success without signature"
+            return f"{result.kind} {result.id} got a success without X-Response-Signature"
         if result.status in (400, 401, 403, 404):
             return f"{result.kind} {result.id} was denied with {result.status}"
         return None
--- a/tests/edge/soak.py
+++ b/tests/edge/soak.py
@@ -1,9 +1,10 @@
-"""A randomized soak: real daemons, faults from outside, and the promises checked meanwhile.
+"""Randomized soak test of edge daemons: clients send requests while faults are injected.
 
     python3 tests/edge/soak.py --seed 1 --seconds 30
 
-Faults come in series and overlap; clients send all the while. What callers and endpoints saw is
-judged at the end and on the way. The seed decides the faults; the machine's timing differs.
+Two threads inject one fault after the other, so that up to two faults overlap. At the end the
+answers and the orders that endpoints got are checked against the guarantees of the daemon. The seed
+determines the random choices of faults, but not the timing: two runs with one seed may differ.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 KINDS = ("chat", "draft", "pay", "check")
 RECOVERY_S = 12.0
-SPACING_S = 1.0  # As the settings of edge_cluster have it.
+SPACING_S = 1.0  # Minimum time between orders of two holders, as lease_spacing in edge_cluster.
 
 
 class Soak:
@@ -36,7 +37,7 @@
         self.timeline: list[str] = []
 
     def send_until_over(self, number: int) -> None:
-        """Sends requests of all kinds to all daemons, one after the other."""
+        """Sends random requests to random daemons, one at a time, until the soak is over."""
         own = random.Random(number)
         while not self.is_over.is_set():
             daemon = own.choice(self.cluster.daemons)
@@ -65,7 +66,10 @@
             return run
 
         def alone(work: Callable[[Daemon], None]) -> Callable[[], None]:
-            """One fault at a time ends or freezes a process, so that none is started twice."""
+            """Makes a fault skip a daemon that another fault is ending or stopping.
+
+            Otherwise two faults could start one daemon twice.
+            """
             def run() -> None:
                 daemon = choose(cluster.daemons)
                 if not daemon.lock.acquire(blocking=False):
@@ -141,7 +145,7 @@
         return self.judge()
 
     def inject(self, end: float) -> None:
-        """Injects one fault after the other; two of these run side by side."""
+        """Injects random faults one after the other until the time end; runs on two threads."""
         faults = self.faults()
         started = end
         while time.monotonic() < end:
@@ -160,10 +164,11 @@
             orders = sorted(endpoint.order_log, key=lambda order: order["at"])
             for former, later in zip(orders, orders[1:]):
                 if later["fencingToken"] < former["fencingToken"]:
-                    broken.append(f"{endpoint.id} got fence {later['fencingToken']} late")
+                    broken.append(f"{endpoint.id} got fencing token {later['fencingToken']} "
+                                  f"after {former['fencingToken']}")
                 if (later["holder"] != former["holder"]
                         and later["at"] - former["at"] < SPACING_S):
-                    broken.append(f"{endpoint.id} got orders of two holders at once")
+                    broken.append(f"{endpoint.id} got orders of two holders within {SPACING_S} s")
         last = [daemon.send(kind) for daemon in cluster.daemons for kind in KINDS]
         broken += [f"{r.kind} {r.id} got {r.status} after all faults" for r in last
                    if not r.is_whole]
@@ -175,7 +180,7 @@
 
 
     def explain(self, fault: str) -> None:
-        """Prints what the daemons logged about the request that a fault names."""
+        """Prints the log lines of the daemons about the request whose id is in the message."""
         for daemon in self.cluster.daemons:
             for line in daemon.log.read_text(errors="replace").splitlines():
                 if any(f'"id":"{word}"' in line for word in fault.split()):
--- a/tests/edge/standin.py
+++ b/tests/edge/standin.py
@@ -1,6 +1,7 @@
-"""The users' platform in small: its store, runners that load models, and plain endpoints.
+"""Stand-in of the platform: a store, runners that load models, and plain endpoints.
 
-Everything runs on one event loop in a thread of the test; faults are switched by attributes.
+Everything runs on one event loop in a thread of the test process. Tests inject faults by setting
+attributes.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass
 class Call:
-    """A request as it came in."""
+    """A received HTTP request with its connection. Header names are in lower case."""
 
     method: str
     target: str
@@ -48,7 +49,10 @@
 
 
 class HttpSite:
-    """A small HTTP/1.1 server; one handler for all calls."""
+    """An HTTP/1.1 server on loopback that passes all requests to one handler.
+
+    A restart keeps the port.
+    """
 
     def __init__(self, handler: Callable[[Call], Awaitable[None]]) -> None:
         self.handler = handler
@@ -90,21 +94,25 @@
 
 
 class Store:
-    """The table of rows, with a feed of changes."""
+    """The platform's store: tables of versioned rows, transactions and a feed of changes.
+
+    The version of a row is the store's version at its last write.
+    """
 
     def __init__(self) -> None:
         self.site = HttpSite(self._handle)
         self.rows: dict[tuple[str, str], tuple[str, int]] = {}
         self.changes: list[tuple[int, str, str, Optional[str]]] = []
         self.version = 0
-        self.forgotten = 0  # Changes up to here are not known any more.
+        self.forgotten = 0  # Last version whose change is no longer in the history.
         self.changed = asyncio.Event()
         self.is_down = False
         self.delay_s = 0.0
-        self.lose_writes = 0
+        self.lose_writes = 0  # Transactions that are applied but whose answer is lost.
         self.refused_hosts: set[str] = set()
 
     def put(self, table: str, key: str, value: Optional[bytes]) -> int:
+        """Writes a row, or removes it if value is None, and returns the new version."""
         self.version += 1
         text = None if value is None else base64.b64encode(value).decode()
         if text is None:
@@ -117,6 +125,7 @@
         return self.version
 
     def forget(self) -> None:
+        """Clears the history, so that a feed that is not up to date gets status 410."""
         self.forgotten = self.version
         self.changes.clear()
 
@@ -136,6 +145,7 @@
 
     async def _transact(self, call: Call) -> None:
         body = json.loads(call.body)
+        # Daemons must not write the operator's configuration or the rows of endpoints.
         if any(entry["table"] in ("op", "servers") for entry in body["setKeys"]):
             answer(call, 403)
             return
@@ -190,7 +200,7 @@
 
 @dataclass
 class Run:
-    """A request that an endpoint began to work on."""
+    """A request that an endpoint has begun to execute."""
 
     request: str
     endpoint: str
@@ -203,19 +213,23 @@
 
 @dataclass
 class Faults:
-    """What an endpoint does wrong."""
+    """The faults of an endpoint that are switched on."""
 
-    mute: bool = False             # It runs requests and says nothing.
-    drop_after_run: int = 0        # Answers that are lost after the run.
-    cut_after_events: int = 0      # Events after which a stream breaks off.
-    extra_answer: bool = False     # A second answer follows each one.
-    shed: bool = False             # It refuses all requests.
-    fail: bool = False             # It answers 500.
-    fatal_body: bytes = b""        # It crashes when it runs this body.
+    mute: bool = False             # Requests are run, but answered only 30 s later.
+    drop_after_run: int = 0        # Number of next answers that are lost after the run.
+    cut_after_events: int = 0      # Events after which each stream is cut, 0 for none.
+    extra_answer: bool = False     # Each answer of a plain endpoint is followed by another.
+    shed: bool = False             # All requests are refused without being run.
+    fail: bool = False             # Requests are run and answered with status 500.
+    fatal_body: bytes = b""        # A request whose body contains these bytes crashes it.
 
 
 class Endpoint:
-    """A runner with models, or a plain endpoint without."""
+    """A runner, or a plain endpoint if it has no models.
+
+    models has the loaded models with their loaded adapters. on_disk has the models whose weights
+    are on the runner's disk.
+    """
 
     def __init__(self, platform: "Platform", name: str, service: str, models: list[str]) -> None:
         self.platform, self.id, self.service = platform, name, service
@@ -229,6 +243,7 @@
         self.order_log: list[dict[str, Any]] = []
 
     def announce(self) -> None:
+        """Writes the endpoint's row to the store."""
         entry = {"backend": self.service, "address": f"127.0.0.1:{self.site.port}", "zone": "a",
                  "version": "v1", "slots": 8, "state": self.state, "coldLeftMs": 0,
                  "born": self.born, "seq": int(time.time()), **self._holdings()}
@@ -240,6 +255,10 @@
                 "atHand": {"inMemory": [], "onDisk": sorted(self.on_disk)}}
 
     async def crash(self, back_after_s: Optional[float]) -> None:
+        """Resets all connections and removes the row; starts again without models after a delay.
+
+        The endpoint stays down if back_after_s is None.
+        """
         if self.is_down:
             return
         self.is_down = True
@@ -343,7 +362,10 @@
 
 
 class Platform:
-    """The store, the operator's configuration and all endpoints, on a loop of their own."""
+    """The store, the operator's configuration and all endpoints, on an event loop of their own.
+
+    places is the number of models that fit into a runner's memory.
+    """
 
     def __init__(self, models: int = 6, runners: int = 2, plain: int = 2, places: int = 2) -> None:
         self.models = [f"m{number}" for number in range(models)]
@@ -358,10 +380,11 @@
         self.call(self._start(runners, plain))
 
     def call(self, work: Awaitable[Any]) -> Any:
-        """Runs a coroutine on the platform's loop and returns what it returns."""
+        """Runs a coroutine on the platform's loop, for at most 30 s, and returns its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
 
     def do(self, action: Callable[[], Any]) -> Any:
+        """Calls a function on the platform's loop and returns its result."""
         async def run() -> Any:
             return action()
 
@@ -411,6 +434,7 @@
         self.store.put("op", "config", json.dumps(document).encode())
 
     def configure(self, **changes: Any) -> None:
+        """Stores a new version of the configuration, with the routes in changes added."""
         self.do(lambda: self._configure(**changes))
 
     def close(self) -> None:
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -1,4 +1,4 @@
-"""The daemon of the users' platform as a process, against the platform in small."""
+"""Edge daemons as processes, tested against the stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from edge_cluster import Daemon, EdgeCluster
 
-# Requests were still open when the grace time had passed.
+# Exit code when requests were still open at the end of the grace period.
 EXIT_REQUESTS_LEFT = 5
 
 
@@ -69,7 +69,8 @@
 
 def test_edge_repeats_a_check_whose_answer_was_lost() -> None:
     with EdgeCluster() as cluster:
-        # The endpoint is chosen by load and by the request, so one of a few gets the fault.
+        # The daemon chooses an endpoint by load and by the request. Some of 20 requests go to p0,
+        # and the first of these loses its answer.
         cluster.platform.endpoints["p0"].faults.drop_after_run = 1
         results = [cluster.daemons[0].send("check") for _ in range(20)]
         assert all(result.is_whole for result in results), results
@@ -135,14 +136,17 @@
         store = cluster.platform.store
         cluster.platform.do(lambda: setattr(store, "is_down", True))
         for daemon in cluster.daemons:
-            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_lost"), "the loss")
+            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_lost"),
+                             "the log event dependency_lost")
         time.sleep(1.5)
         results = [daemon.send(kind) for daemon in cluster.daemons for kind in ("chat", "pay")]
         assert all(result.is_whole for result in results), results
         cluster.platform.do(lambda: setattr(store, "is_down", False))
-        EdgeCluster.wait(lambda: cluster.daemons[1].send("chat", "m5").is_whole, "a cold model")
+        EdgeCluster.wait(lambda: cluster.daemons[1].send("chat", "m5").is_whole,
+                         "an answer of a cold model")
         for daemon in cluster.daemons:
-            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_regained"), "the return")
+            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_regained"),
+                             "the log event dependency_regained")
 
 
 def test_edge_follows_changes_after_the_history_is_gone() -> None:
@@ -165,9 +169,9 @@
         EdgeCluster.wait(
             lambda: any("rhubarbtrail_dispatcher 1" in d.fetch("/metrics") for d in others),
             "another dispatcher")
-        EdgeCluster.wait(lambda: others[1].send("chat", "m5").is_whole, "a cold model")
+        EdgeCluster.wait(lambda: others[1].send("chat", "m5").is_whole, "an answer of a cold model")
         holder.signal(signal.SIGCONT)
-        EdgeCluster.wait(lambda: holder.send("chat").is_whole, "the thawed daemon")
+        EdgeCluster.wait(lambda: holder.send("chat").is_whole, "an answer of the resumed daemon")
         fences = [(order["at"], order["fencingToken"], order["holder"])
                   for endpoint in cluster.platform.endpoints.values()
                   for order in endpoint.order_log]
@@ -191,7 +195,7 @@
 
 def test_edge_ends_in_order_when_requests_outlast_its_grace() -> None:
     with EdgeCluster(grace_s=3.0) as cluster:
-        cluster.platform.work_s = 3.0  # A stream takes longer than the process may.
+        cluster.platform.work_s = 3.0  # Each event takes 3 s, so streams outlast the grace period.
         daemon = cluster.daemons[0]
         with ThreadPoolExecutor(24) as pool:
             for kind in ("chat", "draft", "pay") * 8:
@@ -223,11 +227,13 @@
 
         cluster.platform.do(forge)
         EdgeCluster.wait(
-            lambda: has_event(cluster.daemons[0], "configuration_rejected"), "the log line")
+            lambda: has_event(cluster.daemons[0], "configuration_rejected"),
+            "the log event configuration_rejected")
         assert cluster.daemons[0].send("pay").is_whole
         cluster.daemons[0].settings.write_text("daemon_id: d0\nunknown: 1\n")
         cluster.daemons[0].signal(signal.SIGHUP)
-        EdgeCluster.wait(lambda: has_event(cluster.daemons[0], "reload_rejected"), "the log line")
+        EdgeCluster.wait(lambda: has_event(cluster.daemons[0], "reload_rejected"),
+                         "the log event reload_rejected")
         assert cluster.daemons[0].send("pay").is_whole
 
 
--- a/tests/process/fixture.py
+++ b/tests/process/fixture.py
@@ -1,4 +1,7 @@
-"""What the process tests share: small clusters, callers, and judgements on the journals."""
+"""Helpers of the process tests: small clusters, requests of callers, and checks of the journals.
+
+Each stand-in records what it does in a journal, which the helpers read over HTTP.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,8 @@
     key_hash,
 )
 
-# Short limits, so that what has to lapse does so soon.
+# Settings in milliseconds, far below the defaults, so that tests wait only briefly for leases and
+# timeouts to expire.
 QUICK = {
     "lease_length": 1_500,
     "lease_renewal": 400,
@@ -39,7 +43,7 @@
 def document(
     orders: str = "checked", concurrency: int = 16, customers: tuple[str, ...] = ("families",)
 ) -> str:
-    """Returns a small configuration: eight models of 8,000 MB and a ledger."""
+    """Returns a small configuration: eight models of 8,000 MB and the plain service ledger."""
     configuration = Configuration().add(
         ModelService("language", orders=orders, endpoint_concurrency=concurrency),
         PlainService("ledger", routes=[Route("/payments", "payment", method="POST")]),
@@ -98,12 +102,16 @@
 
 
 def text_of(answer: Answer) -> bytes:
-    """Returns a streamed body without the ids, which differ from request to request."""
+    """Returns a streamed body with empty ids, since the ids differ from request to request."""
     return re.sub(rb'"id":"[^"]*"', b'"id":""', answer.body)
 
 
 def entries(cluster: Cluster, prefix: str, what: str, **wanted: Any) -> list[dict[str, Any]]:
-    """Returns the journal entries of the live stand-ins whose names start with prefix."""
+    """Returns journal entries of the running stand-ins whose names start with prefix, by time.
+
+    Keeps the entries whose "what" field is what and whose other fields have the wanted values. The
+    journal of a stand-in is lost when its process ends.
+    """
     found = []
     for name, process in list(cluster.processes.items()):
         if not name.startswith(prefix) or process.popen.poll() is not None:
@@ -115,7 +123,7 @@
 
 
 def check_placement(cluster: Cluster) -> None:
-    """Asserts that no model ever had two replicas and that no memory was overcommitted."""
+    """Asserts that no model ever had two replicas at once and no runner exceeded its memory."""
     assert entries(cluster, "runner", "overcommit") == []
     changes = entries(cluster, "runner", "load") + entries(cluster, "runner", "unload")
     loaded: dict[str, set[str]] = {}
@@ -130,25 +138,25 @@
 
 
 def holder_of(cluster: Cluster, daemons: list[Process]) -> Process:
-    """Waits until one of the daemons says that it holds the cell of the language service."""
+    """Waits until one of the daemons reports that it holds the lease of the language cell."""
     found: list[Process] = []
 
     def look() -> bool:
         found[:] = [d for d in daemons if cluster.dump(d).get("cells.language.held") == "yes"]
         return bool(found)
 
-    wait_until(look, what="a holder of the cell")
+    wait_until(look, what="a daemon that holds the lease of the language cell")
     return found[0]
 
 
 def together(*jobs: Callable[[], Any]) -> list[Any]:
-    """Runs the jobs at the same time and returns what they return."""
+    """Runs the jobs concurrently and returns their results in the same order."""
     with ThreadPoolExecutor(len(jobs)) as pool:
         return [future.result() for future in [pool.submit(job) for job in jobs]]
 
 
 def in_background(job: Callable[[], Any]):
-    """Starts a job and returns its future."""
+    """Starts a job on a thread of its own and returns its future."""
     pool = ThreadPoolExecutor(1)
     future = pool.submit(job)
     pool.shutdown(wait=False)
@@ -156,7 +164,10 @@
 
 
 def each(cases: list[tuple], check: Callable[..., None], at_once: Optional[int] = None) -> None:
-    """Runs check on every row of a table and reports all rows that failed."""
+    """Runs check concurrently on every case, prints all that failed and raises the first error.
+
+    at_once limits the number of concurrent cases; without it all cases run at once.
+    """
     with ThreadPoolExecutor(at_once or len(cases)) as pool:
         futures = [pool.submit(check, *case) for case in cases]
     failures = [(case, future.exception()) for case, future in zip(cases, futures)
--- a/tests/process/run.py
+++ b/tests/process/run.py
@@ -1,4 +1,8 @@
-"""Runs the tests on real processes, and prints a closing line that CI reads."""
+"""Runs the process tests and prints a closing line that CI reads.
+
+Runs the tests that are named on the command line, or all test functions of tests/process and
+tests/edge. A test that KNOWN-RED.txt lists may fail; the closing line counts it as skipped.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 def known_red() -> set[str]:
-    """Returns the names that KNOWN-RED.txt lists: the first word of each entry."""
+    """Returns the first word of each line of KNOWN-RED.txt that is not indented and no comment."""
     file = ROOT / "KNOWN-RED.txt"
     if not file.exists():
         return set()
@@ -27,7 +31,7 @@
 
 
 def tests(wanted: list[str]) -> list[tuple[str, Callable[[], None]]]:
-    """Returns the tests that are wanted; all when none is named."""
+    """Returns the names and functions of the wanted tests; of all tests when wanted is empty."""
     found = []
     for path in sorted([*HERE.glob("test_*.py"), *EDGE.glob("test_*.py")]):
         for name, function in sorted(vars(importlib.import_module(path.stem)).items()):
--- a/tests/process/test_faults_daemon.py
+++ b/tests/process/test_faults_daemon.py
@@ -1,4 +1,7 @@
-"""Daemons that stop, pause, lag or meet bad input, and endpoints that leave."""
+"""Faults of daemons, and leaving endpoints.
+
+Daemons shut down, are paused, lose the table or get malformed input.
+"""
 
 from __future__ import annotations
 
@@ -78,7 +81,8 @@
     def check(word: str, role: str) -> None:
         lag = ("--host-lag-ms", "1000" if word == "list" else "60000")
         with Cluster() as cluster:
-            # The first hosts have to show up before the lag is felt.
+            # For a notice on the host list, the daemons see each list 1 s late. For a notice of the
+            # endpoint itself there is no lag: the daemons must see the new hosts at once.
             daemons = start(cluster, ledgers=2, platform_options=lag if word == "list" else ())
             send = chat if role == "runner" else (lambda d, n=iter(range(10**6)): pay(d, f"k{next(n)}"))
             assert send(daemons[0]).status == 200
@@ -109,7 +113,7 @@
         two = document(customers=("families", "nannies"))
         assert cluster.apply(daemons[1], two, 1).status == 200
         wait_until(lambda: versions(cluster, daemons) == {"2"})
-        # Restarted while the table is down, a daemon learns it from its peers.
+        # A daemon that restarts while the table is down gets the configuration from its peers.
         assert chat(daemons[0]).status == 200
         holder = holder_of(cluster, daemons)
         lost = next(daemon for daemon in daemons if daemon is not holder)
@@ -161,14 +165,14 @@
 
 
 def exchange(address: str, parts) -> bytes:
-    """Sends the parts and returns what comes back until the other side closes."""
+    """Sends the parts and returns all bytes received until the other side closes."""
     with socket.create_connection(address.split(":"), timeout=30) as connection:
         try:
             for part in parts:
                 connection.sendall(part)
             connection.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # Refused in the middle, which is what some cases ask for.
+            pass  # The daemon may close the connection while the input is still being sent.
         answer = b""
         try:
             while part := connection.recv(65_536):
@@ -204,7 +208,7 @@
         for port, status, parts in cases:
             answer = exchange(daemon.addresses[port], parts)
             case = (port, status, parts[0][:80], answer[:200])
-            # An answer may be lost when the rest of the input is thrown away.
+            # The answer may be lost: the daemon closes the connection with input still unread.
             assert answer == b"" or status in answer.split(b"\r\n")[0] or port == "peer", case
             assert chat(daemon).status == 200, case
             assert resident_mb(daemon) < before + 40, (case, before, resident_mb(daemon))
--- a/tests/process/test_faults_load.py
+++ b/tests/process/test_faults_load.py
@@ -1,4 +1,7 @@
-"""Loads under faults: never two replicas, no overcommitted memory, no caller forgotten."""
+"""Model loads under faults.
+
+A model never has two replicas, no memory is overcommitted, and every caller gets an answer.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 )
 from local_cluster import Cluster, wait_until
 
-LOAD_WAITS = 5  # Factor that stretches a load to two seconds.
+LOAD_WAITS = 5  # Factor that makes a load take two seconds.
 
 
 def test_holder_lost_in_the_middle_of_a_load() -> None:
@@ -53,7 +56,7 @@
                 lost.kill()
                 cluster.remove_host(lost.name)
             else:
-                # A restart under the same address holds nothing; its boot id tells.
+                # The restarted runner has the same name, no replicas and another boot id.
                 lost.kill()
                 cluster.start_endpoint(lost.name, "engine", "language")
             assert waiting.result().status == 200
@@ -88,7 +91,8 @@
         daemons = start(cluster, runners=4, order_threads=2)
         cluster.processes["runner-0"].pause()
         cluster.processes["runner-1"].pause()
-        # The holder looks at every runner each 2 s, and places nothing on one that is silent.
+        # The lease holder requests the inventory of each runner every 2 s, and places no model on a
+        # runner that does not answer.
         time.sleep(4)
         for number in range(6):
             assert chat(daemons[number % 3], f"m{number}").status == 200
@@ -105,7 +109,9 @@
             holder = holder_of(cluster, daemons)
             cluster.fault(cluster.platform, table_down=1)
             wait_until(lambda: cluster.apply(daemons[1], document(), 1).status == 503)
-            # The lease lapses twice over; what is asked meanwhile goes on or is refused at once.
+            # The 90 requests take at least 40 ms each, which is longer than two lease lengths of
+            # 1.5 s. Requests for a loaded model succeed all the time. A request for another model
+            # is served where runners check fencing tokens, and is refused otherwise.
             for _ in range(30):
                 assert all(chat(daemon, "m0").status == 200 for daemon in daemons)
                 wait_until(lambda: cluster.dump(holder) != {})
@@ -118,7 +124,7 @@
                     assert (answer.status, code(answer)) == (503, 2104), answer
                     assert int(answer.headers["retry-after"]) > 0
             cluster.fault(cluster.platform, table_down=0)
-            wait_until(lambda: chat(daemons[2], "m5").status == 200, what="a load afterwards")
+            wait_until(lambda: chat(daemons[2], "m5").status == 200, what="a load after the outage")
             assert cluster.apply(daemons[1], document(orders), 1).status == 200
             check_placement(cluster)
 
--- a/tests/process/test_faults_request.py
+++ b/tests/process/test_faults_request.py
@@ -1,4 +1,8 @@
-"""Requests under faults: whole answers, at most one run, and refusals that tell the truth."""
+"""Requests under faults.
+
+Streams reach the caller complete, a payment runs at most once, and an error states correctly
+whether its request was run.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +73,10 @@
 
 
 def check_truth(cluster: Cluster, key: str, answers: list) -> None:
-    """Asserts that the key ran at most once, and that what the answers say of it is true."""
+    """Asserts that the payment ran at most once and ran if an answer reports success.
+
+    Every other answer has to state the execution as an error does.
+    """
     count = runs(cluster, key)
     assert count <= 1
     assert count == 1 or all(answer.status != 200 for answer in answers)
@@ -83,7 +90,8 @@
         for name in ("ledger-0", "ledger-1"):
             cluster.fault(cluster.processes[name], lose_answers=1)
         answers = [pay(daemon, "k") for daemon in daemons]
-        # The outcome is written after the first refusal; until then the key is in progress.
+        # The daemon stores the outcome of the key after it has answered the first request. Until
+        # then requests with the same key are refused as in progress.
         assert code(answers[0]) == UNKNOWN
         assert {code(answer) for answer in answers[1:]} <= {IN_PROGRESS, EARLIER_UNKNOWN}
         wait_until(lambda: code(pay(daemons[2], "k")) == EARLIER_UNKNOWN)
@@ -98,7 +106,7 @@
         cluster.processes[entries(cluster, "ledger", "run")[0]["endpoint"]].kill()
         answers = [first.result(), *(pay(daemon, "k") for daemon in daemons)]
         assert [code(answer) for answer in answers] == [UNKNOWN] + [EARLIER_UNKNOWN] * 3
-        assert runs(cluster, "k") == 0  # The other service never saw it.
+        assert runs(cluster, "k") == 0  # The other ledger never got the payment.
         return answers
 
     def kill_daemon(cluster: Cluster, daemons: list[Process]) -> list:
@@ -154,7 +162,7 @@
 
 
 def drop_dead_runners(cluster: Cluster, is_done: Event) -> None:
-    """Takes crashed engines off the host list, as the platform does."""
+    """Removes crashed runners from the host list until is_done is set, as the platform does."""
     while not is_done.wait(0.05):
         for name, process in list(cluster.processes.items()):
             if process.popen.poll() is not None:
--- a/tests/process/test_front.py
+++ b/tests/process/test_front.py
@@ -1,4 +1,4 @@
-"""The product's own front under callers that hold connections or send unsound requests."""
+"""The HTTP server for callers: thousands of idle connections, and requests with invalid framing."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from local_cluster import Cluster
 
 IDLE_CONNECTIONS = 4_000
-DESCRIPTORS = 2 * IDLE_CONNECTIONS + 1_000  # Of this process and of the daemon.
+DESCRIPTORS = 2 * IDLE_CONNECTIONS + 1_000  # Limit of this process, which the daemon inherits.
 MEMORY_LIMIT_KB = 60 * 1_024
 
 
@@ -28,7 +28,8 @@
 
 def test_payment_beside_idle_connections() -> None:
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    assert hard == resource.RLIM_INFINITY or hard >= DESCRIPTORS, "too few descriptors allowed"
+    assert hard == resource.RLIM_INFINITY or hard >= DESCRIPTORS, (
+        f"the hard limit of {hard} descriptors is below {DESCRIPTORS}")
     resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
     with Cluster() as cluster:
         daemons = start(cluster, runners=0, ledgers=1, daemons=1)
--- a/tests/process/test_newcomer.py
+++ b/tests/process/test_newcomer.py
@@ -1,4 +1,4 @@
-"""The path of somebody who has never seen rhubarbtrail, with the real binary."""
+"""First use of rhubarbtrail by library, command line and HTTP, with a failure to diagnose."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         cluster.start_endpoint("runner-0", "engine", "texts")
         daemon = cluster.start_daemon("daemon-0")
 
-        # Configure: a document by the library, with a mistake made by hand first.
+        # Write a document with the library. A copy with a wrong service name is refused.
         document = Configuration().add(
             ModelService("texts"),
             RequestClass("default", deadline_ms=8_000),
@@ -32,7 +32,7 @@
         assert applied.returncode == 0, applied
         cluster.wait_ready(daemon)
 
-        # Call.
+        # Send a request and look at the status.
         answer = chat(daemon, "poet", "readers-key")
         assert answer.status == 200, answer
         status = run("status", daemon=daemon).stdout
@@ -40,7 +40,7 @@
         row = next(line.split() for line in status.splitlines() if line.startswith("runner-0"))
         assert row[2:] == ["poet", "loaded"], status
 
-        # Break something: the only runner goes.
+        # Kill the only runner and remove it from the host list.
         cluster.processes["runner-0"].kill()
         cluster.remove_host("runner-0")
         assert run("log-level", "debug", daemon=daemon).returncode == 0
@@ -49,7 +49,8 @@
         error = broken.json()["error"]
         assert broken.status == 503 and error["execution"] == "not_run", broken
 
-        # Find out why: the log names the request, the status shows no runner, metrics count it.
+        # Find the cause: the log has the request id with the result code, status and dump show no
+        # endpoint, and the metrics count the refusal.
         identifier = error["request_id"]
         assert any(identifier in line and str(error["code"]) in line
                    for line in daemon.log.read_text().splitlines())
@@ -60,7 +61,7 @@
         assert f'code="{error["code"]}"' in metrics and 'name="ok",class="default"} 1' in metrics
         assert "rhubarbtrail_model_loads_total 1" in metrics, metrics
 
-        # Mend it: a new runner is all that is needed.
+        # A new runner on the host list restores the service without any other step.
         cluster.start_endpoint("runner-1", "engine", "texts")
         wait_until(lambda: chat(daemon, "poet", "readers-key").status == 200)
         assert run("drain", daemon=daemon).returncode == 0
--- a/tests/process/test_operator.py
+++ b/tests/process/test_operator.py
@@ -1,4 +1,4 @@
-"""The command line, the operators' library, configuration versions, drain and quarantine."""
+"""The operator's tools: command line, library, configuration versions, drain and quarantine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 def run(*arguments: str, daemon: Process | None = None, text: str = "",
         key: str = OPERATOR_KEY) -> subprocess.CompletedProcess:
-    """Runs one subcommand; a daemon's address and the key come from the environment."""
+    """Runs one subcommand; the daemon's admin address and the key are passed in the environment."""
     environment = {**os.environ, "RHUBARBTRAIL_KEY": key}
     if daemon is not None:
         environment["RHUBARBTRAIL_ADMIN"] = daemon.addresses["admin"]
@@ -175,7 +175,10 @@
 
 
 def send_and_take_off_the_dead(cluster: Cluster, daemon: Process) -> str:
-    """Sends a request that crashes runners, while the platform takes those off its list."""
+    """Sends a request that crashes runners, and returns its result code.
+
+    Meanwhile removes the crashed runners from the host list, as the platform does.
+    """
     with ThreadPoolExecutor(1) as pool:
         crashing = pool.submit(chat, daemon, prompt="CRASH-THE-ENGINE")
         while not crashing.done():
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -1,4 +1,7 @@
-"""The whole path on real processes; outcomes are judged from the stand-ins' journals."""
+"""Requests through daemons to stand-ins, with the configuration of Nóminas.
+
+The journals of the stand-ins show which requests and loads were run.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 def start(cluster: Cluster, runners: int = 3, daemons: int = 3, **settings) -> list[Process]:
-    """Starts a small deployment with the configuration of Nóminas."""
+    """Starts runners, two ledgers and daemons with the configuration of Nóminas."""
     cluster.start_platform()
     for number in range(runners):
         cluster.start_endpoint(f"runner-{number}", "engine", "language", "abc"[number % 3])
