--- a/python/rhubarbtrail_config/__init__.py
+++ b/python/rhubarbtrail_config/__init__.py
@@ -32,18 +32,18 @@
 
 def _check_number(low: float, high: float, **values: float) -> None:
     """Checks the type and the bounds of numbers; a float is accepted only if low is a float."""
-    kinds = (int, float) if isinstance(low, float) else (int,)
+    accepted_types = (int, float) if isinstance(low, float) else (int,)
     for name, value in values.items():
-        if not isinstance(value, kinds) or isinstance(value, bool):
+        if not isinstance(value, accepted_types) or isinstance(value, bool):
             raise TypeError(f"{name} must be a number, not {value!r}")
         if not low <= value <= high:
             raise ValueError(f"{name} must be {low} to {high}, not {value}")
 
 
-def _check_word(words: tuple[str, ...], **values: str) -> None:
+def _check_choice(choices: tuple[str, ...], **values: str) -> None:
     for name, value in values.items():
-        if value not in words:
-            raise ValueError(f"{name} must be one of {', '.join(words)}, not {value!r}")
+        if value not in choices:
+            raise ValueError(f"{name} must be one of {', '.join(choices)}, not {value!r}")
 
 
 def _check_names(**values: list[str]) -> None:
@@ -158,7 +158,7 @@
     def __post_init__(self) -> None:
         _check_name(self.name)
         _check_names(drained=self.drained)
-        _check_word(("checked", "unchecked"), orders=self.orders)
+        _check_choice(("checked", "unchecked"), orders=self.orders)
         _check_number(1, 10_000, endpoint_concurrency=self.endpoint_concurrency)
         _check_number(
             1,
@@ -200,7 +200,7 @@
             raise ValueError("a route's path has no blank, question mark or hash")
         _check_name(self.request_class)
         if self.method is not None:
-            _check_word(_METHODS, method=self.method)
+            _check_choice(_METHODS, method=self.method)
 
     def to_dict(self) -> dict[str, Any]:
         entry = {"path": self.path, "class": self.request_class}
@@ -293,7 +293,7 @@
         _check_name(self.name)
         _check_number(0, 9, priority=self.priority)
         _check_number(1, _DAY_MS, deadline_ms=self.deadline_ms)
-        _check_word(("allowed", "never"), repeat=self.repeat)
+        _check_choice(("allowed", "never"), repeat=self.repeat)
 
     def to_dict(self) -> dict[str, Any]:
         return {"priority": self.priority, "deadline_ms": self.deadline_ms, "repeat": self.repeat}
@@ -339,7 +339,7 @@
     """A complete configuration. add() raises ValueError for a name that appears twice."""
 
     def __init__(self) -> None:
-        self._parts: dict[str, dict[str, Any]] = {
+        self._sections: dict[str, dict[str, Any]] = {
             "services": {},
             "models": {},
             "classes": {},
@@ -349,7 +349,7 @@
     def add(
         self, *parts: Union[ModelService, PlainService, Model, RequestClass, Customer]
     ) -> "Configuration":
-        sections = {
+        section_of_type = {
             ModelService: "services",
             PlainService: "services",
             Model: "models",
@@ -357,10 +357,10 @@
             Customer: "customers",
         }
         for part in parts:
-            section = sections[type(part)]
-            if part.name in self._parts[section]:
+            section = section_of_type[type(part)]
+            if part.name in self._sections[section]:
                 raise ValueError(f"{section}: {part.name!r} appears twice")
-            self._parts[section][part.name] = part.to_dict()
+            self._sections[section][part.name] = part.to_dict()
         for part in parts:
             if isinstance(part, Model):
                 self._check_model(part)
@@ -373,7 +373,7 @@
 
         The model has to fit together with all of its adapters.
         """
-        service = self._parts["services"].get(model.service)
+        service = self._sections["services"].get(model.service)
         if service is None or service["kind"] != "models":
             raise ValueError(f"{model.name}: there is no model service {model.service!r} yet")
         needed = model.memory_mb + sum(model.adapters.values())
@@ -382,28 +382,28 @@
             raise ValueError(f"{model.name}: needs {needed} MB, a runner has {available} MB")
 
     def _check_keys(self, customer: Customer) -> None:
-        for name, other in self._parts["customers"].items():
+        for name, other in self._sections["customers"].items():
             if name != customer.name and set(other["key_hashes"]) & set(customer.key_hashes):
                 raise ValueError(f"{customer.name}: shares a key with {name}")
 
     def _check_references(self) -> None:
         """Checks the references that may name a part added later."""
-        for name, service in self._parts["services"].items():
+        for name, service in self._sections["services"].items():
             for route in service.get("routes", []):
-                if route["class"] not in self._parts["classes"]:
+                if route["class"] not in self._sections["classes"]:
                     raise ValueError(f"{name}: there is no class {route['class']!r}")
-        for name, customer in self._parts["customers"].items():
+        for name, customer in self._sections["customers"].items():
             models = [] if customer["models"] == "all" else customer["models"]
             for model in models:
-                if model not in self._parts["models"]:
+                if model not in self._sections["models"]:
                     raise ValueError(f"{name}: there is no model {model!r}")
             for service in customer["services"]:
-                if self._parts["services"].get(service, {}).get("kind") != "plain":
+                if self._sections["services"].get(service, {}).get("kind") != "plain":
                     raise ValueError(f"{name}: there is no plain service {service!r}")
-        if self._parts["models"] and "default" not in self._parts["classes"]:
+        if self._sections["models"] and "default" not in self._sections["classes"]:
             raise ValueError("the class 'default' is needed for requests that name none")
 
     def to_yaml(self) -> str:
         """Returns the document. Raises ValueError for a reference to a missing part."""
         self._check_references()
-        return yaml.dump(self._parts, Dumper=_Dumper, sort_keys=False)
+        return yaml.dump(self._sections, Dumper=_Dumper, sort_keys=False)
