--- a/bench/latency.py
+++ b/bench/latency.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / "demo"), str(ROOT / "python"), str(ROOT / "tests" / "process")]
 
-from fixture import chat, start  # noqa: E402
+from fixture import chat, start_cluster  # noqa: E402
 from local_cluster import Cluster, Process  # noqa: E402
 
 CONNECTIONS = 200
@@ -30,8 +30,8 @@
 
 def main() -> None:
     with Cluster() as cluster:
-        daemon = start(cluster, runners=1, daemons=1, concurrency=64, caller_threads=512,
-                       runner_options=("--token-ms", "0", "--slots", "64"))[0]
+        daemon = start_cluster(cluster, runners=1, daemons=1, concurrency=64, caller_threads=512,
+                               runner_options=("--token-ms", "0", "--slots", "64"))[0]
         assert chat(daemon).status == 200
         runner = cluster.processes["runner-0"]
         paths = measure(daemon, "--direct", runner.address)
--- a/bench/run_load.py
+++ b/bench/run_load.py
@@ -38,7 +38,7 @@
                                  attempt_threads=128)
             for n in range(options.daemons)
         ]
-        if cluster.apply(daemons[0], module.build().to_yaml(), 0).status != 200:
+        if cluster.apply_configuration(daemons[0], module.build().to_yaml(), 0).status != 200:
             return 1
         cluster.wait_ready(*daemons)
         command = [str(ROOT / "build" / "rhubarbtrail"), "load", "--scenario", options.scenario]
--- a/demo/local_cluster.py
+++ b/demo/local_cluster.py
@@ -41,39 +41,39 @@
     def resume(self) -> None:
         os.kill(self.popen.pid, signal.SIGCONT)
 
-    def terminate(self, timeout: float = 30.0) -> int:
+    def terminate(self, timeout_s: float = 30.0) -> int:
         self.popen.terminate()
-        return self.popen.wait(timeout)
+        return self.popen.wait(timeout_s)
 
 
 @dataclass
-class Answer:
+class HttpAnswer:
     """An HTTP response with lower-case header names and the time until its last byte."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    seconds: float
+    duration_s: float
 
     def json(self) -> Any:
         return json.loads(self.body)
 
 
-def call(
+def send_request(
     address: str,
     method: str,
     path: str,
     body: Optional[Any] = None,
     headers: Optional[dict[str, str]] = None,
-    timeout: float = 60.0,
-) -> Answer:
+    timeout_s: float = 60.0,
+) -> HttpAnswer:
     """Sends one HTTP request on a new connection; a body that is not bytes is sent as JSON.
 
-    timeout limits each socket operation, in seconds. Raises OSError or HTTPException without a
-    complete response.
+    timeout_s limits each socket operation. Raises OSError or HTTPException if no complete response
+    arrives.
     """
     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
-    connection = http.client.HTTPConnection(address, timeout=timeout)
+    connection = http.client.HTTPConnection(address, timeout=timeout_s)
     started = time.monotonic()
     try:
         connection.request(
@@ -81,7 +81,7 @@
         )
         response = connection.getresponse()
         content = response.read()
-        return Answer(
+        return HttpAnswer(
             response.status,
             {name.lower(): value for name, value in response.getheaders()},
             content,
@@ -91,21 +91,23 @@
         connection.close()
 
 
-def wait_until(check, timeout: float = START_TIMEOUT_S, what: str = "condition") -> None:
-    """Polls check() every 20 ms until it is true; a check that raises OSError counts as false.
+def wait_until(
+    condition, timeout_s: float = START_TIMEOUT_S, description: str = "a condition"
+) -> None:
+    """Polls condition() every 20 ms until it is true; OSError counts as false.
 
-    Raises TimeoutError after timeout seconds. The timeout is no measure of speed: it only ends a
-    test that has failed.
+    Raises TimeoutError after timeout_s. The timeout is no measure of speed: it only ends a test
+    that has failed.
     """
-    end = time.monotonic() + timeout
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
-            if check():
+            if condition():
                 return
         except OSError:
             pass
         time.sleep(0.02)
-    raise TimeoutError(f"timed out after {timeout} s waiting for {what}")
+    raise TimeoutError(f"timed out after {timeout_s} s waiting for {description}")
 
 
 class Cluster:
@@ -119,7 +121,7 @@
         self._directory = tempfile.TemporaryDirectory(prefix="rhubarbtrail-")
         self.path = Path(self._directory.name)
         self.processes: dict[str, Process] = {}
-        self._hosts: dict[str, dict[str, str]] = {}
+        self._host_entries: dict[str, dict[str, str]] = {}
         keys = [
             {"name": role, "hash": _sha256(f"{role}-key"), "role": role}
             for role in ("view", "operate", "configure")
@@ -149,7 +151,8 @@
         process = Process(name, popen, {}, log)
         self.processes[name] = process
         wait_until(
-            lambda: address_file.exists() or popen.poll() is not None, what=f"start of {name}"
+            lambda: address_file.exists() or popen.poll() is not None,
+            description=f"start of {name}"
         )
         if popen.poll() is not None:
             raise RuntimeError(f"{name} exited at start with {popen.returncode}: {log.read_text()}")
@@ -196,18 +199,18 @@
         return process
 
     def set_host(self, name: str, entry: dict[str, str]) -> None:
-        self._hosts[name] = entry
-        call(self.platform.address, "POST", "/admin/hosts", {"set": [entry]})
+        self._host_entries[name] = entry
+        send_request(self.platform.address, "POST", "/admin/hosts", {"set": [entry]})
 
-    def host(self, name: str) -> dict[str, str]:
-        return self._hosts[name]
+    def host_entry(self, name: str) -> dict[str, str]:
+        return self._host_entries[name]
 
     def has_host(self, name: str) -> bool:
-        return name in self._hosts
+        return name in self._host_entries
 
     def remove_host(self, name: str) -> None:
-        self._hosts.pop(name, None)
-        call(self.platform.address, "POST", "/admin/hosts", {"remove": [name]})
+        self._host_entries.pop(name, None)
+        send_request(self.platform.address, "POST", "/admin/hosts", {"remove": [name]})
 
     def start_daemon(self, name: str, zone: str = "a", **settings: Any) -> Process:
         """Starts a daemon and puts it on the host list; settings override the defaults below."""
@@ -234,9 +237,9 @@
         )
         return process
 
-    def apply(self, daemon: Process, document: str, based_on: int) -> Answer:
+    def apply_configuration(self, daemon: Process, document: str, based_on: int) -> HttpAnswer:
         """Submits a configuration document; based_on is the version that it replaces."""
-        return call(
+        return send_request(
             daemon.addresses["admin"],
             "POST",
             "/configuration",
@@ -247,13 +250,13 @@
     def wait_ready(self, *daemons: Process) -> None:
         for daemon in daemons:
             wait_until(
-                lambda d=daemon: call(d.addresses["admin"], "GET", "/ready").status == 200,
-                what=f"readiness of {daemon.name}",
+                lambda d=daemon: send_request(d.addresses["admin"], "GET", "/ready").status == 200,
+                description=f"readiness of {daemon.name}",
             )
 
     def dump(self, daemon: Process) -> dict[str, str]:
         """Returns the internal state that the daemon reports on its admin port, by path."""
-        answer = call(
+        answer = send_request(
             daemon.addresses["admin"],
             "GET",
             "/dump",
@@ -261,13 +264,13 @@
         )
         return {entry["path"]: entry["value"] for entry in answer.json()}
 
-    def fault(self, process: Process, **faults: int) -> None:
+    def inject_faults(self, process: Process, **faults: int) -> None:
         """Sets faults of a stand-in by name; 0 switches a fault off."""
-        call(process.address, "POST", "/admin/fault", faults)
+        send_request(process.address, "POST", "/admin/fault", faults)
 
     def journal(self, process: Process) -> list[dict[str, Any]]:
         """Returns the events that a stand-in has recorded, such as loads and runs."""
-        return call(process.address, "GET", "/journal").json()
+        return send_request(process.address, "GET", "/journal").json()
 
 
 def _sha256(text: str) -> str:
--- a/tests/edge/edge_cluster.py
+++ b/tests/edge/edge_cluster.py
@@ -23,10 +23,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 BINARY = ROOT / os.environ.get("BUILD", "build") / "rhubarbtrail"
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 # Makes the C library overwrite freed memory, so that a use after free is likely to crash the
 # daemon.
-USE_AFTER_FREE_SHOWS = {"MALLOC_PERTURB_": "165"}
+OVERWRITE_FREED_MEMORY = {"MALLOC_PERTURB_": "165"}
 
 
 def free_ports(count: int) -> list[int]:
@@ -52,10 +52,10 @@
     status: int = 0  # 0 when the connection failed before the end of the answer.
     body: bytes = b""
     fields: dict[str, str] = field(default_factory=dict)
-    seconds: float = 0.0
+    duration_s: float = 0.0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the answer is a success with all events in order, or with the expected body."""
         if self.status != 200:
             return False
@@ -70,15 +70,15 @@
 
     def __init__(self, name: str, store_port: int, folder: Path, grace_s: float = 4.0) -> None:
         self.name = name
-        self.front, self.ready, self.link, self.metrics = free_ports(4)
+        self.front_port, self.ready_port, self.link_port, self.metrics_port = free_ports(4)
         self.log = folder / f"{name}.log"
         self.settings = folder / f"{name}.yaml"
         self.settings.write_text(f"""daemon_id: {name}
 zone: a
-front_address: 127.0.0.1:{self.front}
-ready_address: 127.0.0.1:{self.ready}
-link_address: 127.0.0.1:{self.link}
-metrics_address: 127.0.0.1:{self.metrics}
+front_address: 127.0.0.1:{self.front_port}
+ready_address: 127.0.0.1:{self.ready_port}
+link_address: 127.0.0.1:{self.link_port}
+metrics_address: 127.0.0.1:{self.metrics_port}
 store_address: 127.0.0.1:{store_port}
 shutdown_grace: {grace_s}
 lease_spacing: 1000
@@ -91,7 +91,7 @@
     def start(self) -> None:
         with self.log.open("ab") as log:
             self.popen = subprocess.Popen([BINARY, "edge", "--settings", self.settings], stdout=log,
-                                          stderr=log, env=os.environ | USE_AFTER_FREE_SHOWS)
+                                          stderr=log, env=os.environ | OVERWRITE_FREED_MEMORY)
 
     def signal(self, number: int) -> None:
         assert self.popen is not None
@@ -105,14 +105,14 @@
 
     def is_ready(self) -> bool:
         try:
-            connection = http.client.HTTPConnection("127.0.0.1", self.ready, timeout=1)
+            connection = http.client.HTTPConnection("127.0.0.1", self.ready_port, timeout=1)
             connection.request("GET", "/rhubarbtrail/readyz")
             return connection.getresponse().status == 200
         except OSError:
             return False
 
     def fetch(self, path: str) -> str:
-        connection = http.client.HTTPConnection("127.0.0.1", self.metrics, timeout=5)
+        connection = http.client.HTTPConnection("127.0.0.1", self.metrics_port, timeout=5)
         connection.request("GET", path)
         return connection.getresponse().read().decode()
 
@@ -129,7 +129,7 @@
         method = "GET" if kind == "check" else "POST"
         started = time.monotonic()
         try:
-            connection = http.client.HTTPConnection("127.0.0.1", self.front, timeout=timeout_s)
+            connection = http.client.HTTPConnection("127.0.0.1", self.front_port, timeout=timeout_s)
             connection.request(method, f"/{kind}/x?y=1", body, headers)
             answer = connection.getresponse()
             result.fields = {name.lower(): value for name, value in answer.getheaders()}
@@ -137,7 +137,7 @@
             result.status = answer.status
         except (OSError, http.client.HTTPException):
             result.status = 0
-        result.seconds = time.monotonic() - started
+        result.duration_s = time.monotonic() - started
         return result
 
 
@@ -148,15 +148,15 @@
     the block stops the daemons and the platform.
     """
 
-    def __init__(self, daemons: int = 2, grace_s: float = 4.0, **platform: int) -> None:
+    def __init__(self, daemons: int = 2, grace_s: float = 4.0, **platform_options: int) -> None:
         self.folder = tempfile.TemporaryDirectory()
-        self.platform = Platform(**platform)
-        self.daemons = [Daemon(f"d{number}", self.platform.store.site.port,
+        self.platform = Platform(**platform_options)
+        self.daemons = [Daemon(f"d{number}", self.platform.store.http_server.port,
                                Path(self.folder.name), grace_s) for number in range(daemons)]
 
     def __enter__(self) -> "EdgeCluster":
-        self.wait(lambda: all(daemon.is_ready() for daemon in self.daemons), "readiness")
-        self.wait(self.has_orders, "a daemon that may send orders")
+        self.wait_until(lambda: all(daemon.is_ready() for daemon in self.daemons), "readiness")
+        self.wait_until(self.has_logged_orders_allowed, "a daemon that may send orders")
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -165,7 +165,7 @@
         self.platform.close()
         self.folder.cleanup()
 
-    def has_orders(self) -> bool:
+    def has_logged_orders_allowed(self) -> bool:
         """Returns whether a daemon has ever logged that it may send orders to runners."""
         return any('"event":"orders_allowed"' in daemon.log.read_text()
                    for daemon in self.daemons)
@@ -176,16 +176,16 @@
                     if "rhubarbtrail_dispatcher 1" in daemon.fetch("/metrics"))
 
     @staticmethod
-    def wait(condition, what: str, limit_s: float = START_LIMIT_S) -> None:
-        end = time.monotonic() + limit_s
+    def wait_until(condition, description: str, timeout_s: float = START_TIMEOUT_S) -> None:
+        end = time.monotonic() + timeout_s
         while not condition():
-            assert time.monotonic() < end, f"timed out after {limit_s} s waiting for {what}"
+            assert time.monotonic() < end, f"waited {timeout_s} s for {description}"
             time.sleep(0.05)
 
-    def runs(self, result: Result) -> int:
+    def run_count(self, result: Result) -> int:
         return len(self.platform.runs.get(result.id, []))
 
-    def judge(self, result: Result) -> Optional[str]:
+    def find_violation(self, result: Result) -> Optional[str]:
         """Returns how an answer violates the guarantees of the daemon, or None.
 
         A payment or a draft runs at most once, a refused request does not run, and a success is
@@ -196,7 +196,7 @@
             return f"{result.kind} {result.id} ran {len(runs)} times"
         if result.status in (408, 421, 429, 503) and runs:
             return f"{result.kind} {result.id} was refused with {result.status} and ran"
-        if result.status == 200 and not result.is_whole:
+        if result.status == 200 and not result.is_complete:
             return f"{result.kind} {result.id} got an incomplete answer: {result.body!r}"
         if result.status == 200 and "x-response-signature" not in result.fields:
             return f"{result.kind} {result.id} got a success without X-Response-Signature"
--- a/tests/edge/soak.py
+++ b/tests/edge/soak.py
@@ -26,7 +26,8 @@
 
 KINDS = ("chat", "draft", "pay", "check")
 RECOVERY_S = 12.0
-SPACING_S = 1.0  # Minimum time between orders of two holders, as lease_spacing in edge_cluster.
+# Minimum time between orders of two holders, as lease_spacing in edge_cluster.
+MIN_HOLDER_SPACING_S = 1.0
 
 
 class Soak:
@@ -38,34 +39,35 @@
 
     def send_until_over(self, number: int) -> None:
         """Sends random requests to random daemons, one at a time, until the soak is over."""
-        own = random.Random(number)
+        client_random = random.Random(number)
         while not self.is_over.is_set():
-            daemon = own.choice(self.cluster.daemons)
-            kind = own.choice(KINDS)
-            model = f"m{min(own.randrange(6), own.randrange(6))}"
-            self.results.append(daemon.send(kind, model, timeout_s=own.choice((1.0, 3.0, 8.0))))
-            time.sleep(own.random() * 0.05)
+            daemon = client_random.choice(self.cluster.daemons)
+            kind = client_random.choice(KINDS)
+            model = f"m{min(client_random.randrange(6), client_random.randrange(6))}"
+            self.results.append(
+                daemon.send(kind, model, timeout_s=client_random.choice((1.0, 3.0, 8.0))))
+            time.sleep(client_random.random() * 0.05)
 
     def faults(self) -> list[Callable[[], None]]:
         cluster, choose = self.cluster, self.random.choice
         platform, store = cluster.platform, cluster.platform.store
         endpoint = lambda: choose(list(platform.endpoints.values()))  # noqa: E731
-        pause = lambda: self.random.uniform(0.2, 3.0)  # noqa: E731
+        fault_duration_s = lambda: self.random.uniform(0.2, 3.0)  # noqa: E731
 
-        def for_a_while(set_fault: Callable[[], None], clear: Callable[[], None]) -> None:
-            platform.do(set_fault)
-            time.sleep(pause())
-            platform.do(clear)
+        def hold_fault(set_fault: Callable[[], None], clear: Callable[[], None]) -> None:
+            platform.run_on_loop(set_fault)
+            time.sleep(fault_duration_s())
+            platform.run_on_loop(clear)
 
-        def flaw(name: str, value: object, none: object) -> Callable[[], None]:
+        def endpoint_fault(name: str, value: object, none: object) -> Callable[[], None]:
             def run() -> None:
-                faulty = endpoint().faults
-                for_a_while(lambda: setattr(faulty, name, value),
-                            lambda: setattr(faulty, name, none))
+                endpoint_faults = endpoint().faults
+                hold_fault(lambda: setattr(endpoint_faults, name, value),
+                           lambda: setattr(endpoint_faults, name, none))
             run.__name__ = name
             return run
 
-        def alone(work: Callable[[Daemon], None]) -> Callable[[], None]:
+        def exclusively(work: Callable[[Daemon], None]) -> Callable[[], None]:
             """Makes a fault skip a daemon that another fault is ending or stopping.
 
             Otherwise two faults could start one daemon twice.
@@ -83,7 +85,7 @@
 
         def kill_daemon(daemon: Daemon) -> None:
             daemon.kill()
-            time.sleep(pause())
+            time.sleep(fault_duration_s())
             daemon.start()
 
         def restart_daemon(daemon: Daemon) -> None:
@@ -93,56 +95,60 @@
 
         def freeze_daemon(daemon: Daemon) -> None:
             daemon.signal(signal.SIGSTOP)
-            time.sleep(pause())
+            time.sleep(fault_duration_s())
             daemon.signal(signal.SIGCONT)
 
         def reload_daemon() -> None:
             choose(cluster.daemons).signal(signal.SIGHUP)
 
         def crash_endpoint() -> None:
-            platform.call(endpoint().crash(pause()))
+            platform.run_coroutine(endpoint().crash(fault_duration_s()))
 
         def drain_endpoint() -> None:
             leaving = endpoint()
-            for_a_while(lambda: (setattr(leaving, "state", "draining"), leaving.announce()),
-                        lambda: (setattr(leaving, "state", "ready"), leaving.announce()))
+            hold_fault(lambda: (setattr(leaving, "state", "draining"), leaving.announce()),
+                       lambda: (setattr(leaving, "state", "ready"), leaving.announce()))
 
         def store_down() -> None:
-            for_a_while(lambda: setattr(store, "is_down", True),
-                        lambda: setattr(store, "is_down", False))
+            hold_fault(lambda: setattr(store, "is_down", True),
+                       lambda: setattr(store, "is_down", False))
 
         def store_slow() -> None:
-            for_a_while(lambda: setattr(store, "delay_s", 0.3),
-                        lambda: setattr(store, "delay_s", 0.0))
+            hold_fault(lambda: setattr(store, "delay_s", 0.3),
+                       lambda: setattr(store, "delay_s", 0.0))
 
         def store_loses_answers() -> None:
-            platform.do(lambda: setattr(store, "lose_writes", 3))
+            platform.run_on_loop(lambda: setattr(store, "lose_writes", 3))
 
         def store_forgets() -> None:
-            platform.do(store.forget)
+            platform.run_on_loop(store.clear_history)
 
         def configure() -> None:
             platform.configure()
 
-        return [flaw("mute", True, False), flaw("drop_after_run", 5, 0),
-                flaw("cut_after_events", 2, 0), flaw("extra_answer", True, False),
-                flaw("shed", True, False), flaw("fail", True, False), alone(kill_daemon),
-                alone(restart_daemon), alone(freeze_daemon), reload_daemon, crash_endpoint, drain_endpoint, store_down,
-                store_slow, store_loses_answers, store_forgets, configure]
+        return [endpoint_fault("delays_answers", True, False),
+                endpoint_fault("lost_answers", 5, 0),
+                endpoint_fault("cut_after_events", 2, 0),
+                endpoint_fault("extra_answer", True, False),
+                endpoint_fault("refuses_all", True, False),
+                endpoint_fault("answers_500", True, False),
+                exclusively(kill_daemon), exclusively(restart_daemon), exclusively(freeze_daemon),
+                reload_daemon, crash_endpoint, drain_endpoint, store_down, store_slow,
+                store_loses_answers, store_forgets, configure]
 
     def run(self, seconds: float, clients: int) -> list[str]:
         started = time.monotonic()
         with ThreadPoolExecutor(clients + 2) as pool:
             for number in range(clients):
                 pool.submit(self.send_until_over, number)
-            lanes = [pool.submit(self.inject, started + seconds) for _ in range(2)]
+            injectors = [pool.submit(self.inject, started + seconds) for _ in range(2)]
             try:
-                for lane in lanes:
-                    lane.result()
+                for injector in injectors:
+                    injector.result()
                 time.sleep(RECOVERY_S)
             finally:
                 self.is_over.set()
-        return self.judge()
+        return self.find_violations()
 
     def inject(self, end: float) -> None:
         """Injects random faults one after the other until the time end; runs on two threads."""
@@ -155,35 +161,37 @@
             fault()
             time.sleep(self.random.uniform(0.05, 0.5))
 
-    def judge(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         cluster = self.cluster
-        broken = [fault for fault in map(cluster.judge, self.results) if fault]
+        violations = [violation for violation in map(cluster.find_violation, self.results)
+                      if violation]
         for endpoint in cluster.platform.endpoints.values():
-            if endpoint.most_models > cluster.platform.places:
-                broken.append(f"{endpoint.id} held {endpoint.most_models} models")
+            if endpoint.max_loaded_models > cluster.platform.models_per_runner:
+                violations.append(f"{endpoint.id} held {endpoint.max_loaded_models} models")
             orders = sorted(endpoint.order_log, key=lambda order: order["at"])
             for former, later in zip(orders, orders[1:]):
                 if later["fencingToken"] < former["fencingToken"]:
-                    broken.append(f"{endpoint.id} got fencing token {later['fencingToken']} "
-                                  f"after {former['fencingToken']}")
+                    violations.append(f"{endpoint.id} got fencing token {later['fencingToken']} "
+                                      f"after {former['fencingToken']}")
                 if (later["holder"] != former["holder"]
-                        and later["at"] - former["at"] < SPACING_S):
-                    broken.append(f"{endpoint.id} got orders of two holders within {SPACING_S} s")
-        last = [daemon.send(kind) for daemon in cluster.daemons for kind in KINDS]
-        broken += [f"{r.kind} {r.id} got {r.status} after all faults" for r in last
-                   if not r.is_whole]
-        for fault in broken[:10]:
-            self.explain(fault)
+                        and later["at"] - former["at"] < MIN_HOLDER_SPACING_S):
+                    violations.append(f"{endpoint.id} got orders of two holders within "
+                                      f"{MIN_HOLDER_SPACING_S} s")
+        final_results = [daemon.send(kind) for daemon in cluster.daemons for kind in KINDS]
+        violations += [f"{r.kind} {r.id} got {r.status} after all faults" for r in final_results
+                       if not r.is_complete]
+        for violation in violations[:10]:
+            self.print_log_lines(violation)
         counts = Counter((r.kind, r.status) for r in self.results)
         print(f"requests: {dict(sorted(counts.items()))}")
-        return broken
+        return violations
 
 
-    def explain(self, fault: str) -> None:
+    def print_log_lines(self, violation: str) -> None:
         """Prints the log lines of the daemons about the request whose id is in the message."""
         for daemon in self.cluster.daemons:
             for line in daemon.log.read_text(errors="replace").splitlines():
-                if any(f'"id":"{word}"' in line for word in fault.split()):
+                if any(f'"id":"{word}"' in line for word in violation.split()):
                     print(f"{daemon.name}: {line}")
 
 
@@ -197,13 +205,14 @@
     print(f"seed {options.seed}, {options.daemons} daemons, {options.seconds} s", flush=True)
     with EdgeCluster(daemons=options.daemons, runners=3, plain=2) as cluster:
         soak = Soak(cluster, options.seed)
-        broken = soak.run(options.seconds, options.clients)
-    for line in broken:
+        violations = soak.run(options.seconds, options.clients)
+    for line in violations:
         print(f"BROKEN: {line}")
-    if broken:
+    if violations:
         print("\n".join(soak.timeline))
-    print(f"seed {options.seed}: {len(broken)} broken, {len(soak.results)} requests", flush=True)
-    return 1 if broken else 0
+    print(f"seed {options.seed}: {len(violations)} broken, {len(soak.results)} requests",
+          flush=True)
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tests/edge/standin.py
+++ b/tests/edge/standin.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Call:
+class HttpCall:
     """A received HTTP request with its connection. Header names are in lower case."""
 
     method: str
@@ -38,23 +38,23 @@
         return parse_qs(urlsplit(self.target).query, keep_blank_values=True).get(name, [""])[0]
 
 
-def head(status: int, fields: dict[str, str]) -> bytes:
+def response_head(status: int, fields: dict[str, str]) -> bytes:
     lines = [f"HTTP/1.1 {status} X"] + [f"{name}: {value}" for name, value in fields.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def answer(call: Call, status: int, body: bytes = b"", **fields: str) -> None:
+def write_response(call: HttpCall, status: int, body: bytes = b"", **fields: str) -> None:
     names = {name.replace("_", "-"): value for name, value in fields.items()}
-    call.writer.write(head(status, {**names, "Content-Length": str(len(body))}) + body)
+    call.writer.write(response_head(status, {**names, "Content-Length": str(len(body))}) + body)
 
 
-class HttpSite:
+class HttpServer:
     """An HTTP/1.1 server on loopback that passes all requests to one handler.
 
     A restart keeps the port.
     """
 
-    def __init__(self, handler: Callable[[Call], Awaitable[None]]) -> None:
+    def __init__(self, handler: Callable[[HttpCall], Awaitable[None]]) -> None:
         self.handler = handler
         self.server: Optional[asyncio.base_events.Server] = None
         self.writers: set[asyncio.StreamWriter] = set()
@@ -84,7 +84,7 @@
                         name, value = line.split(":", 1)
                         fields[name.strip().lower()] = value.strip()
                 body = await reader.readexactly(int(fields.get("content-length", "0")))
-                await self.handler(Call(method, target, fields, body, reader, writer))
+                await self.handler(HttpCall(method, target, fields, body, reader, writer))
                 await writer.drain()
         except (asyncio.IncompleteReadError, asyncio.CancelledError, OSError, ValueError):
             pass
@@ -100,11 +100,11 @@
     """
 
     def __init__(self) -> None:
-        self.site = HttpSite(self._handle)
+        self.http_server = HttpServer(self._handle)
         self.rows: dict[tuple[str, str], tuple[str, int]] = {}
         self.changes: list[tuple[int, str, str, Optional[str]]] = []
         self.version = 0
-        self.forgotten = 0  # Last version whose change is no longer in the history.
+        self.last_cleared_version = 0  # Last version whose change is no longer in the history.
         self.changed = asyncio.Event()
         self.is_down = False
         self.delay_s = 0.0
@@ -124,30 +124,30 @@
         self.changed = asyncio.Event()
         return self.version
 
-    def forget(self) -> None:
+    def clear_history(self) -> None:
         """Clears the history, so that a feed that is not up to date gets status 410."""
-        self.forgotten = self.version
+        self.last_cleared_version = self.version
         self.changes.clear()
 
-    async def _handle(self, call: Call) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         await asyncio.sleep(0.002 + self.delay_s)
         if self.is_down:
-            answer(call, 503)
+            write_response(call, 503)
             return
         if call.path.endswith("/rows-tx"):
-            await self._transact(call)
+            await self._handle_transaction(call)
         elif call.path.endswith("/rows-get"):
             table = call.query("table")
             rows = [self._row(t, k) for (t, k) in sorted(self.rows) if t == table]
             self._send(call, rows)
         else:
-            await self._feed(call)
+            await self._handle_feed(call)
 
-    async def _transact(self, call: Call) -> None:
+    async def _handle_transaction(self, call: HttpCall) -> None:
         body = json.loads(call.body)
         # Daemons must not write the operator's configuration or the rows of endpoints.
         if any(entry["table"] in ("op", "servers") for entry in body["setKeys"]):
-            answer(call, 403)
+            write_response(call, 403)
             return
         for condition in body["expectedRev"]:
             found = self.rows.get((condition["table"], condition["key"]))
@@ -166,20 +166,20 @@
             return
         self._send(call, [])
 
-    async def _feed(self, call: Call) -> None:
+    async def _handle_feed(self, call: HttpCall) -> None:
         table, after = call.query("table"), int(call.query("after"))
         deadline = time.monotonic() + int(call.query("waitMs")) / 1000
         while True:
-            if after < self.forgotten:
-                answer(call, 410)
+            if after < self.last_cleared_version:
+                write_response(call, 410)
                 return
             rows = [self._change(c) for c in self.changes if c[0] > after and c[1] == table]
-            left = deadline - time.monotonic()
-            if rows or left <= 0 or self.is_down:
+            remaining_s = deadline - time.monotonic()
+            if rows or remaining_s <= 0 or self.is_down:
                 self._send(call, rows)
                 return
             try:
-                await asyncio.wait_for(self.changed.wait(), min(left, 0.2))
+                await asyncio.wait_for(self.changed.wait(), min(remaining_s, 0.2))
             except asyncio.TimeoutError:
                 pass
 
@@ -193,9 +193,9 @@
         row = {"table": table, "part": "", "key": key, "ver": version}
         return {**row, "removed": True} if value is None else {**row, "value": value}
 
-    def _send(self, call: Call, rows: list[dict[str, Any]], status: int = 200) -> None:
+    def _send(self, call: HttpCall, rows: list[dict[str, Any]], status: int = 200) -> None:
         body = {"rows": rows, "truncated": False, "ver": self.version, "nowMs": 1}
-        answer(call, status, json.dumps(body).encode(), Content_Type="application/json")
+        write_response(call, status, json.dumps(body).encode(), Content_Type="application/json")
 
 
 @dataclass
@@ -215,13 +215,13 @@
 class Faults:
     """The faults of an endpoint that are switched on."""
 
-    mute: bool = False             # Requests are run, but answered only 30 s later.
-    drop_after_run: int = 0        # Number of next answers that are lost after the run.
-    cut_after_events: int = 0      # Events after which each stream is cut, 0 for none.
-    extra_answer: bool = False     # Each answer of a plain endpoint is followed by another.
-    shed: bool = False             # All requests are refused without being run.
-    fail: bool = False             # Requests are run and answered with status 500.
-    fatal_body: bytes = b""        # A request whose body contains these bytes crashes it.
+    delays_answers: bool = False    # Requests are run, but answered only 30 s later.
+    lost_answers: int = 0           # Number of next answers that are lost after the run.
+    cut_after_events: int = 0       # Events after which each stream is cut, 0 for none.
+    extra_answer: bool = False      # Each answer of a plain endpoint is followed by another.
+    refuses_all: bool = False       # All requests are refused without being run.
+    answers_500: bool = False       # Requests are run and answered with status 500.
+    crashing_body: bytes = b""      # A request whose body contains these bytes crashes it.
 
 
 class Endpoint:
@@ -233,23 +233,24 @@
 
     def __init__(self, platform: "Platform", name: str, service: str, models: list[str]) -> None:
         self.platform, self.id, self.service = platform, name, service
-        self.site = HttpSite(self._handle)
+        self.http_server = HttpServer(self._handle)
         self.models: dict[str, list[str]] = {model: [] for model in models}
         self.on_disk = set(platform.models) if models else set()
         self.faults = Faults()
-        self.born, self.orders, self.busy_until = 1, 0, 0.0
+        self.born, self.order_count, self.busy_until = 1, 0, 0.0
         self.state, self.is_down = "ready", False
-        self.most_models = 0
+        self.max_loaded_models = 0
         self.order_log: list[dict[str, Any]] = []
 
     def announce(self) -> None:
         """Writes the endpoint's row to the store."""
-        entry = {"backend": self.service, "address": f"127.0.0.1:{self.site.port}", "zone": "a",
+        entry = {"backend": self.service, "address": f"127.0.0.1:{self.http_server.port}",
+                 "zone": "a",
                  "version": "v1", "slots": 8, "state": self.state, "coldLeftMs": 0,
-                 "born": self.born, "seq": int(time.time()), **self._holdings()}
+                 "born": self.born, "seq": int(time.time()), **self._loaded_state()}
         self.platform.store.put("servers", self.id, json.dumps(entry).encode())
 
-    def _holdings(self) -> dict[str, Any]:
+    def _loaded_state(self) -> dict[str, Any]:
         models = [{"name": m, "version": 1, "adapters": a} for m, a in self.models.items()]
         return {"stage": "combined", "models": models,
                 "atHand": {"inMemory": [], "onDisk": sorted(self.on_disk)}}
@@ -262,36 +263,36 @@
         if self.is_down:
             return
         self.is_down = True
-        await self.site.stop()
+        await self.http_server.stop()
         self.platform.store.put("servers", self.id, None)
         if back_after_s is None:
             return
         await asyncio.sleep(back_after_s)
-        self.born, self.orders, self.busy_until = self.born + 1000, 0, 0.0
+        self.born, self.order_count, self.busy_until = self.born + 1000, 0, 0.0
         self.models = {}
-        await self.site.start()
+        await self.http_server.start()
         self.is_down = False
         self.announce()
 
-    async def _handle(self, call: Call) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         if call.fields.get("x-target-instance", self.id) != self.id:
-            answer(call, 421)
+            write_response(call, 421)
         elif call.path.endswith("/report"):
-            report = {**self._holdings(), "busy": self.busy_until > time.monotonic(),
-                      "seq": self.orders, "born": self.born, "waiting": 0, "running": 0}
-            answer(call, 200, json.dumps(report).encode())
+            report = {**self._loaded_state(), "busy": self.busy_until > time.monotonic(),
+                      "seq": self.order_count, "born": self.born, "waiting": 0, "running": 0}
+            write_response(call, 200, json.dumps(report).encode())
         elif call.path.endswith("/order"):
-            await self._order(call)
+            await self._handle_order(call)
         else:
-            await self._run(call)
+            await self._handle_request(call)
 
-    async def _order(self, call: Call) -> None:
+    async def _handle_order(self, call: HttpCall) -> None:
         order = json.loads(call.body)
         self.order_log.append({**order, "at": time.monotonic(), "runner": self.id})
-        if self.busy_until > time.monotonic() or order.get("expectedRev", 0) != self.orders:
-            answer(call, 409)
+        if self.busy_until > time.monotonic() or order.get("expectedRev", 0) != self.order_count:
+            write_response(call, 409)
             return
-        self.orders += 1
+        self.order_count += 1
         model, adapter = order["model"], order.get("adapter")
         if order["operation"] == "model_load" and adapter:
             self.models[model].append(adapter)
@@ -302,51 +303,53 @@
             self.models[model].remove(adapter)
         else:
             self.models.pop(model, None)
-        answer(call, 202)
+        write_response(call, 202)
 
     def _loaded(self, model: str) -> None:
         self.models[model] = []
-        self.most_models = max(self.most_models, len(self.models))
+        self.max_loaded_models = max(self.max_loaded_models, len(self.models))
         self.announce()
 
-    async def _run(self, call: Call) -> None:
+    async def _handle_request(self, call: HttpCall) -> None:
         request = call.fields.get("x-request-id", "")
         model, _, adapter = call.fields.get("x-model", "").partition("/")
         is_missing = model and (model not in self.models
                                 or (adapter and adapter not in self.models[model]))
-        if self.faults.shed or is_missing:
-            answer(call, 421 if is_missing else 503, X_Not_Executed="1", X_Request_Id=request)
+        if self.faults.refuses_all or is_missing:
+            write_response(call, 421 if is_missing else 503, X_Not_Executed="1",
+                           X_Request_Id=request)
             return
         run = Run(request, self.id, time.monotonic(), call.fields, call.target, call.body)
         self.platform.runs[request].append(run)
-        if self.faults.fatal_body and self.faults.fatal_body in call.body:
+        if self.faults.crashing_body and self.faults.crashing_body in call.body:
             run.is_cut = True
             asyncio.ensure_future(self.crash(0.4))
             return
-        if self.faults.mute:
+        if self.faults.delays_answers:
             await asyncio.sleep(30)
         await asyncio.sleep(self.platform.work_s)
-        if self.faults.drop_after_run > 0:
-            self.faults.drop_after_run -= 1
+        if self.faults.lost_answers > 0:
+            self.faults.lost_answers -= 1
             call.writer.transport.abort()
             return
-        signed = {"X-Request-Id": request, "X-Response-Signature": f"{self.id}.{request}",
-                  "X-Server-Load": "1,0,8"}
-        if self.faults.fail:
-            call.writer.write(head(500, {**signed, "Content-Length": "0"}))
+        signed_headers = {"X-Request-Id": request, "X-Response-Signature": f"{self.id}.{request}",
+                          "X-Server-Load": "1,0,8"}
+        if self.faults.answers_500:
+            call.writer.write(response_head(500, {**signed_headers, "Content-Length": "0"}))
         elif model:
-            await self._stream(call, run, signed)
+            await self._stream(call, run, signed_headers)
         else:
             body = f"done {request}".encode()
-            call.writer.write(head(200, {**signed, "Content-Length": str(len(body))}) + body)
+            call.writer.write(
+                response_head(200, {**signed_headers, "Content-Length": str(len(body))}) + body)
             if self.faults.extra_answer:
-                call.writer.write(head(200, {**signed, "X-Request-Id": "nobody",
-                                             "Content-Length": "5"}) + b"extra")
+                call.writer.write(response_head(200, {**signed_headers, "X-Request-Id": "nobody",
+                                                      "Content-Length": "5"}) + b"extra")
 
-    async def _stream(self, call: Call, run: Run, signed: dict[str, str]) -> None:
+    async def _stream(self, call: HttpCall, run: Run, signed_headers: dict[str, str]) -> None:
         first = int(call.fields.get("last-event-id", "0") or "0") + 1
-        call.writer.write(head(200, {**signed, "Content-Type": "text/event-stream",
-                                     "Transfer-Encoding": "chunked"}))
+        call.writer.write(response_head(200, {**signed_headers, "Content-Type": "text/event-stream",
+                                              "Transfer-Encoding": "chunked"}))
         for sent, number in enumerate(range(first, EVENT_COUNT + 1)):
             if self.faults.cut_after_events and sent >= self.faults.cut_after_events:
                 run.is_cut = True
@@ -364,12 +367,13 @@
 class Platform:
     """The store, the operator's configuration and all endpoints, on an event loop of their own.
 
-    places is the number of models that fit into a runner's memory.
+    models_per_runner is the number of models that fit into a runner's memory.
     """
 
-    def __init__(self, models: int = 6, runners: int = 2, plain: int = 2, places: int = 2) -> None:
+    def __init__(self, models: int = 6, runners: int = 2, plain: int = 2,
+                 models_per_runner: int = 2) -> None:
         self.models = [f"m{number}" for number in range(models)]
-        self.places = places
+        self.models_per_runner = models_per_runner
         self.load_s, self.work_s = 0.3, 0.01
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self.endpoints: dict[str, Endpoint] = {}
@@ -377,25 +381,25 @@
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
         self.version = 0
-        self.call(self._start(runners, plain))
+        self.run_coroutine(self._start(runners, plain))
 
-    def call(self, work: Awaitable[Any]) -> Any:
+    def run_coroutine(self, work: Awaitable[Any]) -> Any:
         """Runs a coroutine on the platform's loop, for at most 30 s, and returns its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
 
-    def do(self, action: Callable[[], Any]) -> Any:
+    def run_on_loop(self, action: Callable[[], Any]) -> Any:
         """Calls a function on the platform's loop and returns its result."""
         async def run() -> Any:
             return action()
 
-        return self.call(run())
+        return self.run_coroutine(run())
 
     async def _start(self, runners: int, plain: int) -> None:
         self.store = Store()
-        await self.store.site.start()
+        await self.store.http_server.start()
         for number in range(runners):
-            held = [self.models[(number * self.places + place) % len(self.models)]
-                    for place in range(self.places)]
+            held = [self.models[(number * self.models_per_runner + place) % len(self.models)]
+                    for place in range(self.models_per_runner)]
             await self._add(f"r{number}", "llm", held)
         for number in range(plain):
             await self._add(f"p{number}", "plain", [])
@@ -403,14 +407,15 @@
 
     async def _add(self, name: str, service: str, models: list[str]) -> None:
         endpoint = Endpoint(self, name, service, models)
-        await endpoint.site.start()
+        await endpoint.http_server.start()
         self.endpoints[name] = endpoint
         endpoint.announce()
 
     def _configure(self, **changes: Any) -> None:
         self.version += 3
         route = {"host": "h.example", "priority": 1, "maxAttempts": 2, "timeoutMs": 8000}
-        engine = {"slots": 8, "kvTokens": 100000, "weightsMb": 1000.0 * self.places + 100,
+        engine = {"slots": 8, "kvTokens": 100000,
+                  "weightsMb": 1000.0 * self.models_per_runner + 100,
                   "adapterSlots": 2, "loadsPerS": 4.0,
                   "models": [{"name": name, "weightsMb": 1000.0, "loadTimeS": self.load_s,
                               "adapters": 3, "adapterMb": 10.0, "diskS": self.load_s}
@@ -435,18 +440,18 @@
 
     def configure(self, **changes: Any) -> None:
         """Stores a new version of the configuration, with the routes in changes added."""
-        self.do(lambda: self._configure(**changes))
+        self.run_on_loop(lambda: self._configure(**changes))
 
     def close(self) -> None:
         async def stop() -> None:
             for endpoint in self.endpoints.values():
-                await endpoint.site.stop()
-            await self.store.site.stop()
+                await endpoint.http_server.stop()
+            await self.store.http_server.stop()
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-        self.call(stop())
+        self.run_coroutine(stop())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -14,18 +14,18 @@
 EXIT_REQUESTS_LEFT = 5
 
 
-def check(cluster: EdgeCluster, *results) -> None:
-    faults = [fault for fault in map(cluster.judge, results) if fault]
-    assert not faults, faults
+def check_no_violations(cluster: EdgeCluster, *results) -> None:
+    violations = [violation for violation in map(cluster.find_violation, results) if violation]
+    assert not violations, violations
 
 
-def log_of(daemon: Daemon) -> list[dict]:
+def log_lines(daemon: Daemon) -> list[dict]:
     return [json.loads(line) for line in daemon.log.read_text().splitlines()
             if line.startswith("{") and line.endswith("}")]
 
 
 def has_event(daemon: Daemon, event: str) -> bool:
-    return any(line["event"] == event for line in log_of(daemon))
+    return any(line["event"] == event for line in log_lines(daemon))
 
 
 def test_edge_serves_every_kind_of_request() -> None:
@@ -33,11 +33,11 @@
         for daemon in cluster.daemons:
             for kind in ("chat", "draft", "pay", "check"):
                 result = daemon.send(kind, body=b"hello")
-                assert result.is_whole, result
+                assert result.is_complete, result
                 run = cluster.platform.runs[result.id][0]
                 assert run.target == f"/{kind}/x?y=1" and run.body == b"hello", run
                 assert run.fields["x-target-instance"] == run.endpoint
-                check(cluster, result)
+                check_no_violations(cluster, result)
 
 
 def test_edge_loads_a_cold_model_once_for_many_callers() -> None:
@@ -45,36 +45,36 @@
         with ThreadPoolExecutor(20) as pool:
             results = list(pool.map(
                 lambda n: cluster.daemons[n % 2].send("chat", "m5"), range(20)))
-        assert all(result.is_whole for result in results), results
+        assert all(result.is_complete for result in results), results
         orders = [order for endpoint in cluster.platform.endpoints.values()
                   for order in endpoint.order_log
                   if order["operation"] == "model_load" and order["model"] == "m5"]
         accepted = [endpoint for endpoint in cluster.platform.endpoints.values()
                     if "m5" in endpoint.models]
         assert len(accepted) == 1, orders
-        assert all(len(e.models) <= cluster.platform.places
+        assert all(len(e.models) <= cluster.platform.models_per_runner
                    for e in cluster.platform.endpoints.values())
 
 
 def test_edge_never_repeats_what_must_run_once() -> None:
     with EdgeCluster() as cluster:
         for name in ("p0", "p1", "r0", "r1"):
-            cluster.platform.endpoints[name].faults.drop_after_run = 1
+            cluster.platform.endpoints[name].faults.lost_answers = 1
         results = [cluster.daemons[0].send(kind) for kind in ("pay", "pay", "draft", "draft")]
         assert [result.status for result in results].count(502) >= 2, results
-        check(cluster, *results)
+        check_no_violations(cluster, *results)
         repeated = [cluster.daemons[0].send("check") for _ in range(4)]
-        check(cluster, *repeated)
+        check_no_violations(cluster, *repeated)
 
 
 def test_edge_repeats_a_check_whose_answer_was_lost() -> None:
     with EdgeCluster() as cluster:
         # The daemon chooses an endpoint by load and by the request. Some of 20 requests go to p0,
         # and the first of these loses its answer.
-        cluster.platform.endpoints["p0"].faults.drop_after_run = 1
+        cluster.platform.endpoints["p0"].faults.lost_answers = 1
         results = [cluster.daemons[0].send("check") for _ in range(20)]
-        assert all(result.is_whole for result in results), results
-        assert sorted(cluster.runs(result) for result in results)[-2:] == [1, 2]
+        assert all(result.is_complete for result in results), results
+        assert sorted(cluster.run_count(result) for result in results)[-2:] == [1, 2]
 
 
 def test_edge_resumes_a_stream_behind_the_last_event() -> None:
@@ -82,11 +82,11 @@
         for runner in ("r0", "r1"):
             cluster.platform.endpoints[runner].faults.cut_after_events = 3
         result = cluster.daemons[0].send("chat")
-        assert result.is_whole, result
-        assert cluster.runs(result) == 2
+        assert result.is_complete, result
+        assert cluster.run_count(result) == 2
         cut = cluster.daemons[0].send("draft")
         assert cut.status == 0, cut
-        assert cluster.runs(cut) == 1
+        assert cluster.run_count(cut) == 1
 
 
 def test_edge_keeps_extra_answers_from_other_requests() -> None:
@@ -94,69 +94,70 @@
         for name in ("p0", "p1"):
             cluster.platform.endpoints[name].faults.extra_answer = True
         results = [cluster.daemons[0].send(kind) for kind in ("check", "pay") * 10]
-        assert all(result.is_whole for result in results), results
-        check(cluster, *results)
+        assert all(result.is_complete for result in results), results
+        check_no_violations(cluster, *results)
 
 
 def test_edge_tells_the_truth_when_all_endpoints_refuse() -> None:
     with EdgeCluster() as cluster:
         for name in ("p0", "p1"):
-            cluster.platform.endpoints[name].faults.shed = True
+            cluster.platform.endpoints[name].faults.refuses_all = True
         result = cluster.daemons[0].send("pay")
         assert result.status == 503 and "retry-after" in result.fields, result
-        assert result.seconds < 1.5, result
-        check(cluster, result)
+        assert result.duration_s < 1.5, result
+        check_no_violations(cluster, result)
 
 
 def test_edge_stops_a_request_that_crashes_its_runners() -> None:
     with EdgeCluster(runners=3, models=2) as cluster:
         for name in ("r0", "r1", "r2"):
-            cluster.platform.endpoints[name].faults.fatal_body = b"KILL"
+            cluster.platform.endpoints[name].faults.crashing_body = b"KILL"
         results = []
         for number in range(8):
             results.append(cluster.daemons[number % 2].send("draft", body=b"KILL"))
             time.sleep(0.7)
-        runs = sum(cluster.runs(result) for result in results)
-        assert 1 <= runs <= 4, runs
-        check(cluster, *results)
+        run_count = sum(cluster.run_count(result) for result in results)
+        assert 1 <= run_count <= 4, run_count
+        check_no_violations(cluster, *results)
 
 
 def test_edge_does_not_blame_requests_for_broken_connections() -> None:
     with EdgeCluster() as cluster:
         for name in ("p0", "p1"):
-            cluster.platform.endpoints[name].faults.drop_after_run = 4
+            cluster.platform.endpoints[name].faults.lost_answers = 4
         for number in range(8):
-            check(cluster, cluster.daemons[number % 2].send("pay", body=b"same bytes"))
+            check_no_violations(
+                cluster, cluster.daemons[number % 2].send("pay", body=b"same bytes"))
         result = cluster.daemons[0].send("pay", body=b"same bytes")
-        assert result.is_whole, result
+        assert result.is_complete, result
 
 
 def test_edge_goes_on_while_the_store_is_away() -> None:
     with EdgeCluster() as cluster:
         store = cluster.platform.store
-        cluster.platform.do(lambda: setattr(store, "is_down", True))
+        cluster.platform.run_on_loop(lambda: setattr(store, "is_down", True))
         for daemon in cluster.daemons:
-            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_lost"),
-                             "the log event dependency_lost")
+            EdgeCluster.wait_until(lambda d=daemon: has_event(d, "dependency_lost"),
+                                   "the log event dependency_lost")
         time.sleep(1.5)
         results = [daemon.send(kind) for daemon in cluster.daemons for kind in ("chat", "pay")]
-        assert all(result.is_whole for result in results), results
-        cluster.platform.do(lambda: setattr(store, "is_down", False))
-        EdgeCluster.wait(lambda: cluster.daemons[1].send("chat", "m5").is_whole,
-                         "an answer of a cold model")
+        assert all(result.is_complete for result in results), results
+        cluster.platform.run_on_loop(lambda: setattr(store, "is_down", False))
+        EdgeCluster.wait_until(lambda: cluster.daemons[1].send("chat", "m5").is_complete,
+                               "an answer of a cold model")
         for daemon in cluster.daemons:
-            EdgeCluster.wait(lambda d=daemon: has_event(d, "dependency_regained"),
-                             "the log event dependency_regained")
+            EdgeCluster.wait_until(lambda d=daemon: has_event(d, "dependency_regained"),
+                                   "the log event dependency_regained")
 
 
 def test_edge_follows_changes_after_the_history_is_gone() -> None:
     with EdgeCluster() as cluster:
-        cluster.platform.do(cluster.platform.store.forget)
+        cluster.platform.run_on_loop(cluster.platform.store.clear_history)
         route = {"name": "new", "host": "new.example", "prefix": "/", "kind": "idempotent",
                  "backend": "plain", "priority": 1, "maxAttempts": 1, "timeoutMs": 2000}
         cluster.platform.configure(routes=[route])
         for daemon in cluster.daemons:
-            EdgeCluster.wait(
+            EdgeCluster.wait_until(
                 lambda d=daemon: d.send("check", Host="new.example").status == 200, "the new route")
 
 
@@ -165,13 +166,15 @@
         holder = cluster.holder()
         others = [daemon for daemon in cluster.daemons if daemon is not holder]
         holder.signal(signal.SIGSTOP)
-        assert others[0].send("chat").is_whole
-        EdgeCluster.wait(
+        assert others[0].send("chat").is_complete
+        EdgeCluster.wait_until(
             lambda: any("rhubarbtrail_dispatcher 1" in d.fetch("/metrics") for d in others),
             "another dispatcher")
-        EdgeCluster.wait(lambda: others[1].send("chat", "m5").is_whole, "an answer of a cold model")
+        EdgeCluster.wait_until(lambda: others[1].send("chat", "m5").is_complete,
+                               "an answer of a cold model")
         holder.signal(signal.SIGCONT)
-        EdgeCluster.wait(lambda: holder.send("chat").is_whole, "an answer of the resumed daemon")
+        EdgeCluster.wait_until(lambda: holder.send("chat").is_complete,
+                               "an answer of the resumed daemon")
         fences = [(order["at"], order["fencingToken"], order["holder"])
                   for endpoint in cluster.platform.endpoints.values()
                   for order in endpoint.order_log]
@@ -189,7 +192,7 @@
             daemon.signal(signal.SIGTERM)
             results = [future.result() for future in open_requests]
         assert not daemon.is_ready()
-        assert all(result.is_whole for result in results), results
+        assert all(result.is_complete for result in results), results
         assert daemon.popen.wait(10) == 0
 
 
@@ -215,7 +218,7 @@
             daemon.signal(signal.SIGTERM)
             result = waiting.result()
         assert result.status == 503 and "retry-after" in result.fields, result
-        check(cluster, result)
+        check_no_violations(cluster, result)
 
 
 def test_edge_refuses_forged_entries_and_bad_settings() -> None:
@@ -225,24 +228,24 @@
             cluster.platform.store.put("servers", "x2", b'{"backend":"plain"}')
             cluster.platform.store.put("op", "config", b"{")
 
-        cluster.platform.do(forge)
-        EdgeCluster.wait(
+        cluster.platform.run_on_loop(forge)
+        EdgeCluster.wait_until(
             lambda: has_event(cluster.daemons[0], "configuration_rejected"),
             "the log event configuration_rejected")
-        assert cluster.daemons[0].send("pay").is_whole
+        assert cluster.daemons[0].send("pay").is_complete
         cluster.daemons[0].settings.write_text("daemon_id: d0\nunknown: 1\n")
         cluster.daemons[0].signal(signal.SIGHUP)
-        EdgeCluster.wait(lambda: has_event(cluster.daemons[0], "reload_rejected"),
-                         "the log event reload_rejected")
-        assert cluster.daemons[0].send("pay").is_whole
+        EdgeCluster.wait_until(lambda: has_event(cluster.daemons[0], "reload_rejected"),
+                               "the log event reload_rejected")
+        assert cluster.daemons[0].send("pay").is_complete
 
 
-def test_edge_serves_beside_thousands_of_idle_connections() -> None:
+def test_edge_serves_beside_480_idle_connections() -> None:
     with EdgeCluster(daemons=1) as cluster:
         daemon = cluster.daemons[0]
-        idle = [socket.create_connection(("127.0.0.1", daemon.front)) for _ in range(480)]
+        idle = [socket.create_connection(("127.0.0.1", daemon.front_port)) for _ in range(480)]
         result = daemon.send("pay")
-        assert result.is_whole, result
+        assert result.is_complete, result
         for connection in idle:
             connection.close()
 
@@ -250,16 +253,16 @@
 def test_edge_logs_lead_from_an_id_to_its_cause() -> None:
     with EdgeCluster(daemons=2) as cluster:
         for name in ("p0", "p1"):
-            cluster.platform.endpoints[name].faults.drop_after_run = 1
+            cluster.platform.endpoints[name].faults.lost_answers = 1
         lost = cluster.daemons[0].send("pay")
         for runner in ("r0", "r1"):
             cluster.platform.endpoints[runner].faults.cut_after_events = 2
         cut = cluster.daemons[1].send("draft", "m0")
         for name in ("p0", "p1"):
-            cluster.platform.endpoints[name].faults.shed = True
+            cluster.platform.endpoints[name].faults.refuses_all = True
         refused = cluster.daemons[0].send("pay")
         time.sleep(0.5)
-        lines = [line for daemon in cluster.daemons for line in log_of(daemon)]
+        lines = [line for daemon in cluster.daemons for line in log_lines(daemon)]
 
         def events(result) -> list[str]:
             return [line["event"] for line in lines if line.get("id") == result.id]
--- a/tests/process/fixture.py
+++ b/tests/process/fixture.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, Callable, Optional
 
-from local_cluster import Answer, Cluster, Process, call, wait_until
+from local_cluster import Cluster, HttpAnswer, Process, send_request, wait_until
 from rhubarbtrail_config import (
     Configuration,
     Customer,
@@ -23,7 +23,7 @@
 
 # Settings in milliseconds, far below the defaults, so that tests wait only briefly for leases and
 # timeouts to expire.
-QUICK = {
+SHORT_LIMITS = {
     "lease_length": 1_500,
     "lease_renewal": 400,
     "order_flight": 400,
@@ -37,10 +37,10 @@
     "host_list_interval": 100,
 }
 CHAT = "/v1/chat/completions"
-FAMILIES = {"Authorization": "Bearer families-key"}
+FAMILIES_HEADERS = {"Authorization": "Bearer families-key"}
 
 
-def document(
+def configuration_document(
     orders: str = "checked", concurrency: int = 16, customers: tuple[str, ...] = ("families",)
 ) -> str:
     """Returns a small configuration: eight models of 8,000 MB and the plain service ledger."""
@@ -57,7 +57,7 @@
     return configuration.to_yaml()
 
 
-def start(
+def start_cluster(
     cluster: Cluster,
     runners: int = 2,
     daemons: int = 3,
@@ -78,84 +78,89 @@
         )
     for number in range(ledgers):
         cluster.start_endpoint(f"ledger-{number}", "service", "ledger", "abc"[number % 3])
-    values = {**QUICK, **settings}
+    values = {**SHORT_LIMITS, **settings}
     started = [cluster.start_daemon(f"daemon-{n}", "abc"[n % 3], **values) for n in range(daemons)]
-    assert cluster.apply(started[0], document(orders, concurrency), 0).status == 200
+    assert cluster.apply_configuration(
+        started[0], configuration_document(orders, concurrency), 0).status == 200
     cluster.wait_ready(*started)
     return started
 
 
 def chat(daemon: Process, model: str = "m0", prompt: str = "hello", tokens: int = 8,
-         stream: bool = False, **headers: str) -> Answer:
+         stream: bool = False, **headers: str) -> HttpAnswer:
     body = {"model": model, "messages": [{"role": "user", "content": prompt}],
             "max_tokens": tokens, "stream": stream}
-    return call(daemon.addresses["caller"], "POST", CHAT, body, {**FAMILIES, **headers})
+    return send_request(daemon.addresses["caller"], "POST", CHAT, body,
+                        {**FAMILIES_HEADERS, **headers})
 
 
-def pay(daemon: Process, key: str) -> Answer:
-    return call(daemon.addresses["caller"], "POST", "/services/ledger/payments", {"amount": 1},
-                {**FAMILIES, "Idempotency-Key": key})
+def pay(daemon: Process, key: str) -> HttpAnswer:
+    return send_request(daemon.addresses["caller"], "POST", "/services/ledger/payments",
+                        {"amount": 1}, {**FAMILIES_HEADERS, "Idempotency-Key": key})
 
 
-def code(answer: Answer) -> int:
+def result_code(answer: HttpAnswer) -> int:
     return int(answer.headers.get("x-result-code", "0"))
 
 
-def text_of(answer: Answer) -> bytes:
+def without_ids(answer: HttpAnswer) -> bytes:
     """Returns a streamed body with empty ids, since the ids differ from request to request."""
     return re.sub(rb'"id":"[^"]*"', b'"id":""', answer.body)
 
 
-def entries(cluster: Cluster, prefix: str, what: str, **wanted: Any) -> list[dict[str, Any]]:
+def journal_entries(
+    cluster: Cluster, prefix: str, event: str, **expected_fields: Any
+) -> list[dict[str, Any]]:
     """Returns journal entries of the running stand-ins whose names start with prefix, by time.
 
-    Keeps the entries whose "what" field is what and whose other fields have the wanted values. The
-    journal of a stand-in is lost when its process ends.
+    Keeps the entries whose "what" field is event and whose other fields have the expected values.
+    The journal of a stand-in is lost when its process ends.
     """
     found = []
     for name, process in list(cluster.processes.items()):
         if not name.startswith(prefix) or process.popen.poll() is not None:
             continue
         for entry in cluster.journal(process):
-            if entry["what"] == what and wanted.items() <= entry.items():
+            if entry["what"] == event and expected_fields.items() <= entry.items():
                 found.append({**entry, "endpoint": name})
     return sorted(found, key=lambda entry: entry["at_ms"])
 
 
 def check_placement(cluster: Cluster) -> None:
     """Asserts that no model ever had two replicas at once and no runner exceeded its memory."""
-    assert entries(cluster, "runner", "overcommit") == []
-    changes = entries(cluster, "runner", "load") + entries(cluster, "runner", "unload")
+    assert journal_entries(cluster, "runner", "overcommit") == []
+    changes = journal_entries(cluster, "runner", "load") + journal_entries(
+        cluster, "runner", "unload")
     loaded: dict[str, set[str]] = {}
     for change in sorted(changes, key=lambda entry: entry["at_ms"]):
-        places = loaded.setdefault(change["model"], set())
+        loaded_on = loaded.setdefault(change["model"], set())
         if change["what"] == "load":
-            places.add(change["endpoint"])
-            assert len(places) == 1, (change, places)
+            loaded_on.add(change["endpoint"])
+            assert len(loaded_on) == 1, (change, loaded_on)
             assert change["used_mb"] <= change["memory_mb"], change
         else:
-            places.discard(change["endpoint"])
+            loaded_on.discard(change["endpoint"])
 
 
-def holder_of(cluster: Cluster, daemons: list[Process]) -> Process:
+def wait_for_lease_holder(cluster: Cluster, daemons: list[Process]) -> Process:
     """Waits until one of the daemons reports that it holds the lease of the language cell."""
     found: list[Process] = []
 
-    def look() -> bool:
+    def find_holder() -> bool:
         found[:] = [d for d in daemons if cluster.dump(d).get("cells.language.held") == "yes"]
         return bool(found)
 
-    wait_until(look, what="a daemon that holds the lease of the language cell")
+    wait_until(find_holder, description="a daemon that holds the lease of the language cell")
     return found[0]
 
 
-def together(*jobs: Callable[[], Any]) -> list[Any]:
+def run_concurrently(*jobs: Callable[[], Any]) -> list[Any]:
     """Runs the jobs concurrently and returns their results in the same order."""
     with ThreadPoolExecutor(len(jobs)) as pool:
         return [future.result() for future in [pool.submit(job) for job in jobs]]
 
 
-def in_background(job: Callable[[], Any]):
+def run_in_background(job: Callable[[], Any]):
     """Starts a job on a thread of its own and returns its future."""
     pool = ThreadPoolExecutor(1)
     future = pool.submit(job)
@@ -163,12 +168,13 @@
     return future
 
 
-def each(cases: list[tuple], check: Callable[..., None], at_once: Optional[int] = None) -> None:
+def check_all_cases(cases: list[tuple], check: Callable[..., None],
+                    max_concurrent_cases: Optional[int] = None) -> None:
     """Runs check concurrently on every case, prints all that failed and raises the first error.
 
-    at_once limits the number of concurrent cases; without it all cases run at once.
+    max_concurrent_cases limits the number of concurrent cases; without it all run at once.
     """
-    with ThreadPoolExecutor(at_once or len(cases)) as pool:
+    with ThreadPoolExecutor(max_concurrent_cases or len(cases)) as pool:
         futures = [pool.submit(check, *case) for case in cases]
     failures = [(case, future.exception()) for case, future in zip(cases, futures)
                 if future.exception()]
--- a/tests/process/run.py
+++ b/tests/process/run.py
@@ -30,7 +30,7 @@
     return {line.split()[0] for line in lines if not line.startswith(" ")}
 
 
-def tests(wanted: list[str]) -> list[tuple[str, Callable[[], None]]]:
+def select_tests(wanted: list[str]) -> list[tuple[str, Callable[[], None]]]:
     """Returns the names and functions of the wanted tests; of all tests when wanted is empty."""
     found = []
     for path in sorted([*HERE.glob("test_*.py"), *EDGE.glob("test_*.py")]):
@@ -40,23 +40,24 @@
     return found
 
 
-def run(name: str, function: Callable[[], None], red: set[str]) -> str:
+def run(name: str, function: Callable[[], None], known_red_names: set[str]) -> str:
     """Runs one test, prints its outcome and returns it."""
     started = time.monotonic()
     outcome = "passed"
     try:
         function()
     except Exception:  # noqa: BLE001 - a test may fail in any way
-        outcome = "KNOWN RED" if name in red else "FAILED"
+        outcome = "KNOWN RED" if name in known_red_names else "FAILED"
         print(f"{name}:\n{traceback.format_exc()}", flush=True)
     print(f"{outcome:<10} {name} ({time.monotonic() - started:.1f} s)", flush=True)
     return outcome
 
 
 def main() -> int:
-    red = known_red()
+    known_red_names = known_red()
     with ThreadPoolExecutor(TESTS_AT_ONCE) as pool:
-        outcomes = list(pool.map(lambda test: run(*test, red), tests(sys.argv[1:])))
+        outcomes = list(pool.map(lambda test: run(*test, known_red_names),
+                                 select_tests(sys.argv[1:])))
     failed = outcomes.count("FAILED")
     print(f"process tests: {outcomes.count('passed')} passed, {failed} failed, "
           f"{outcomes.count('KNOWN RED')} skipped")
--- a/tests/process/test_faults_daemon.py
+++ b/tests/process/test_faults_daemon.py
@@ -10,35 +10,37 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from fixture import (
-    CHAT, QUICK, chat, check_placement, code, document, each, entries, holder_of, in_background, pay, start,
+    CHAT, SHORT_LIMITS, chat, check_all_cases, check_placement, configuration_document,
+    journal_entries, pay, result_code, run_in_background, start_cluster, wait_for_lease_holder,
 )
-from local_cluster import Answer, Cluster, Process, call, wait_until
+from local_cluster import Cluster, HttpAnswer, Process, send_request, wait_until
 
 
-def versions(cluster: Cluster, daemons: list[Process]) -> set[str]:
+def configuration_versions(cluster: Cluster, daemons: list[Process]) -> set[str]:
     return {cluster.dump(daemon)["view.configuration"] for daemon in daemons}
 
 
-def ask_as_nanny(daemon: Process) -> Answer:
+def chat_as_nannies(daemon: Process) -> HttpAnswer:
     body = {"model": "m0", "messages": [], "max_tokens": 2}
-    return call(daemon.addresses["caller"], "POST", CHAT, body,
-                {"Authorization": "Bearer nannies-key"})
+    return send_request(daemon.addresses["caller"], "POST", CHAT, body,
+                        {"Authorization": "Bearer nannies-key"})
 
 
 def test_sigterm_cuts_off_no_request() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, concurrency=2, ledgers=1, runner_options=("--token-ms", "20"))
+        daemons = start_cluster(cluster, concurrency=2, ledgers=1,
+                                runner_options=("--token-ms", "20"))
         assert chat(daemons[0]).status == 200
-        holder = holder_of(cluster, daemons)
+        holder = wait_for_lease_holder(cluster, daemons)
         idle = socket.create_connection(holder.addresses["caller"].split(":"))
-        cluster.fault(cluster.platform, store_slow_factor=3)
-        cluster.fault(cluster.processes["ledger-0"], slow_ms=1_000)
+        cluster.inject_faults(cluster.platform, store_slow_factor=3)
+        cluster.inject_faults(cluster.processes["ledger-0"], slow_ms=1_000)
         with ThreadPoolExecutor(16) as pool:
             streams = [pool.submit(chat, holder, "m0", f"s{n}", 40, True) for n in range(6)]
             cold = [pool.submit(chat, holder, "m1"), pool.submit(chat, holder, "m2")]
             payment = pool.submit(pay, holder, "k")
-            wait_until(lambda: len(entries(cluster, "runner", "load")) > 1
-                       and entries(cluster, "ledger", "run"))
+            wait_until(lambda: len(journal_entries(cluster, "runner", "load")) > 1
+                       and journal_entries(cluster, "ledger", "run"))
             exit_code = pool.submit(holder.terminate)
             for stream in streams:
                 answer = stream.result()
@@ -53,108 +55,115 @@
 
 def test_caller_that_never_reads_does_not_hold_up_shutdown_for_ever() -> None:
     with Cluster() as cluster:
-        daemon = start(cluster, daemons=1, shutdown_limit=1_000,
-                       runner_options=("--token-ms", "0"))[0]
+        daemon = start_cluster(cluster, daemons=1, shutdown_limit=1_000,
+                               runner_options=("--token-ms", "0"))[0]
         body = (b'{"model":"m0","stream":true,"max_tokens":100000,"messages":[]}')
         caller = socket.create_connection(daemon.addresses["caller"].split(":"))
         caller.sendall(b"POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer families-key\r\n"
                        b"Content-Length: %d\r\n\r\n%s" % (CHAT.encode(), len(body), body))
-        wait_until(lambda: entries(cluster, "runner", "run"))
+        wait_until(lambda: journal_entries(cluster, "runner", "run"))
         assert daemon.terminate() in (0, 5)
         caller.close()
 
 
 def test_caller_that_goes_frees_the_engine() -> None:
     with Cluster() as cluster:
-        daemon = start(cluster, daemons=1, runner_options=("--token-ms", "20"))[0]
+        daemon = start_cluster(cluster, daemons=1, runner_options=("--token-ms", "20"))[0]
         body = b'{"model":"m0","stream":true,"max_tokens":100000,"messages":[]}'
         caller = socket.create_connection(daemon.addresses["caller"].split(":"))
         caller.sendall(b"POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer families-key\r\n"
                        b"Content-Length: %d\r\n\r\n%s" % (CHAT.encode(), len(body), body))
-        wait_until(lambda: entries(cluster, "runner", "run"))
+        wait_until(lambda: journal_entries(cluster, "runner", "run"))
         caller.close()
-        wait_until(lambda: entries(cluster, "runner", "end", whole=False))
+        wait_until(lambda: journal_entries(cluster, "runner", "end", whole=False))
         wait_until(lambda: cluster.dump(daemon)["router.requests"] == "0")
 
 
 def test_leaving_endpoint_gets_no_new_work() -> None:
-    def check(word: str, role: str) -> None:
-        lag = ("--host-lag-ms", "1000" if word == "list" else "60000")
+    def check(notice_source: str, role: str) -> None:
+        lag = ("--host-lag-ms", "1000" if notice_source == "host list" else "60000")
         with Cluster() as cluster:
             # For a notice on the host list, the daemons see each list 1 s late. For a notice of the
             # endpoint itself there is no lag: the daemons must see the new hosts at once.
-            daemons = start(cluster, ledgers=2, platform_options=lag if word == "list" else ())
-            send = chat if role == "runner" else (lambda d, n=iter(range(10**6)): pay(d, f"k{next(n)}"))
+            daemons = start_cluster(cluster, ledgers=2,
+                                    platform_options=lag if notice_source == "host list" else ())
+            send = chat if role == "runner" else (
+                lambda d, n=iter(range(10**6)): pay(d, f"k{next(n)}"))
             assert send(daemons[0]).status == 200
-            name = entries(cluster, role, "run")[0]["endpoint"]
+            name = journal_entries(cluster, role, "run")[0]["endpoint"]
             leaving_at = int(time.monotonic() * 1_000)
-            if word == "list":
-                cluster.set_host(name, {**cluster.host(name), "state": "leaving"})
+            if notice_source == "host list":
+                cluster.set_host(name, {**cluster.host_entry(name), "state": "leaving"})
             else:
-                call(cluster.processes[name].address, "POST", "/admin/leave")
+                send_request(cluster.processes[name].address, "POST", "/admin/leave")
             end = time.monotonic() + 5
             while time.monotonic() < end:
                 for number, daemon in enumerate(daemons):
                     assert send(daemon).status == 200
                     if role == "runner":
                         assert chat(daemon, f"m{number + 1}").status == 200
-            for what in ("run", "load", "refused"):
-                late = [entry for entry in entries(cluster, name, what)
+            for event in ("run", "load", "refused"):
+                late = [entry for entry in journal_entries(cluster, name, event)
                         if entry["at_ms"] > leaving_at + 3_000]
                 assert not late, late[0]
 
-    each([(word, role) for word in ("list", "own word") for role in ("runner", "ledger")],
-         check, at_once=2)
+    check_all_cases([(source, role) for source in ("host list", "endpoint")
+                     for role in ("runner", "ledger")],
+                    check, max_concurrent_cases=2)
 
 
 def test_configuration_reaches_every_daemon() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster)
-        two = document(customers=("families", "nannies"))
-        assert cluster.apply(daemons[1], two, 1).status == 200
-        wait_until(lambda: versions(cluster, daemons) == {"2"})
+        daemons = start_cluster(cluster)
+        two_customers = configuration_document(customers=("families", "nannies"))
+        assert cluster.apply_configuration(daemons[1], two_customers, 1).status == 200
+        wait_until(lambda: configuration_versions(cluster, daemons) == {"2"})
         # A daemon that restarts while the table is down gets the configuration from its peers.
         assert chat(daemons[0]).status == 200
-        holder = holder_of(cluster, daemons)
+        holder = wait_for_lease_holder(cluster, daemons)
         lost = next(daemon for daemon in daemons if daemon is not holder)
-        cluster.fault(cluster.platform, table_down=1)
+        cluster.inject_faults(cluster.platform, table_down=1)
         lost.kill()
-        again = cluster.start_daemon(lost.name, "a", **QUICK)
-        daemons[daemons.index(lost)] = again
-        wait_until(lambda: versions(cluster, daemons) == {"2"})
-        wait_until(lambda: ask_as_nanny(again).status == 200, what="service after a restart")
-        cluster.fault(cluster.platform, table_down=0)
-        racing = [in_background(lambda d=daemon: cluster.apply(d, two, 2)) for daemon in daemons]
+        restarted = cluster.start_daemon(lost.name, "a", **SHORT_LIMITS)
+        daemons[daemons.index(lost)] = restarted
+        wait_until(lambda: configuration_versions(cluster, daemons) == {"2"})
+        wait_until(lambda: chat_as_nannies(restarted).status == 200,
+                   description="service after a restart")
+        cluster.inject_faults(cluster.platform, table_down=0)
+        racing = [
+            run_in_background(lambda d=daemon: cluster.apply_configuration(d, two_customers, 2))
+            for daemon in daemons]
         assert sorted(future.result().status for future in racing) == [200, 409, 409]
-        wait_until(lambda: versions(cluster, daemons) == {"3"})
+        wait_until(lambda: configuration_versions(cluster, daemons) == {"3"})
 
 
 def test_paused_daemon_never_serves_by_an_old_configuration_for_long() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster)
-        assert cluster.apply(daemons[0], document(customers=("families", "nannies")), 1).status == 200
-        wait_until(lambda: all(ask_as_nanny(daemon).status == 200 for daemon in daemons))
+        daemons = start_cluster(cluster)
+        assert cluster.apply_configuration(
+            daemons[0], configuration_document(customers=("families", "nannies")), 1).status == 200
+        wait_until(lambda: all(chat_as_nannies(daemon).status == 200 for daemon in daemons))
         daemons[2].pause()
-        assert cluster.apply(daemons[0], document(), 2).status == 200
-        wait_until(lambda: versions(cluster, daemons[:2]) == {"3"})
+        assert cluster.apply_configuration(daemons[0], configuration_document(), 2).status == 200
+        wait_until(lambda: configuration_versions(cluster, daemons[:2]) == {"3"})
         daemons[2].resume()
         time.sleep(1)  # The freshness limit of the cluster.
-        assert {ask_as_nanny(daemon).status for daemon in daemons} <= {403, 503}
-        wait_until(lambda: versions(cluster, daemons) == {"3"})
+        assert {chat_as_nannies(daemon).status for daemon in daemons} <= {403, 503}
+        wait_until(lambda: configuration_versions(cluster, daemons) == {"3"})
 
 
 def test_silent_daemon_does_not_hold_up_the_others() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster)
+        daemons = start_cluster(cluster)
         assert chat(daemons[0]).status == 200
-        holder = holder_of(cluster, daemons)
+        holder = wait_for_lease_holder(cluster, daemons)
         others = [daemon for daemon in daemons if daemon is not holder]
         holder.pause()
         assert [chat(daemon, f"m{n + 1}").status for n, daemon in enumerate(others)] == [200] * 2
-        assert cluster.apply(others[0], document(), 1).status == 200
-        wait_until(lambda: versions(cluster, others) == {"2"})
+        assert cluster.apply_configuration(others[0], configuration_document(), 1).status == 200
+        wait_until(lambda: configuration_versions(cluster, others) == {"2"})
         holder.resume()
-        wait_until(lambda: versions(cluster, daemons) == {"2"})
+        wait_until(lambda: configuration_versions(cluster, daemons) == {"2"})
         assert chat(holder, "m3").status == 200
         check_placement(cluster)
 
@@ -198,12 +207,12 @@
         ("peer", b"", [preface] + [frame] * 4_000),
     ]
     with Cluster() as cluster:
-        daemon = start(cluster, daemons=1)[0]
+        daemon = start_cluster(cluster, daemons=1)[0]
         assert chat(daemon).status == 200
         idle = [socket.create_connection(daemon.addresses[port].split(":"))
                 for port in ("caller", "peer", "admin") for _ in range(40)]
-        half = socket.create_connection(daemon.addresses["caller"].split(":"))
-        half.sendall(head + b"Content-Length: 100\r\n\r\nhalf")
+        partial_request = socket.create_connection(daemon.addresses["caller"].split(":"))
+        partial_request.sendall(head + b"Content-Length: 100\r\n\r\nhalf")
         before = resident_mb(daemon)
         for port, status, parts in cases:
             answer = exchange(daemon.addresses[port], parts)
@@ -212,6 +221,6 @@
             assert answer == b"" or status in answer.split(b"\r\n")[0] or port == "peer", case
             assert chat(daemon).status == 200, case
             assert resident_mb(daemon) < before + 40, (case, before, resident_mb(daemon))
-        for connection in (half, *idle):
+        for connection in (partial_request, *idle):
             connection.close()
-        assert chat(daemon).status == 200 and code(chat(daemon, "none")) == 1103
+        assert chat(daemon).status == 200 and result_code(chat(daemon, "none")) == 1103
--- a/tests/process/test_faults_load.py
+++ b/tests/process/test_faults_load.py
@@ -9,49 +9,51 @@
 import time
 
 from fixture import (
-    chat, check_placement, code, document, each, entries, holder_of, in_background, start,
+    chat, check_all_cases, check_placement, configuration_document, journal_entries, result_code,
+    run_in_background, start_cluster, wait_for_lease_holder,
 )
 from local_cluster import Cluster, wait_until
 
-LOAD_WAITS = 5  # Factor that makes a load take two seconds.
+LOAD_SLOWDOWN = 5  # Factor that makes a load take two seconds.
 
 
 def test_holder_lost_in_the_middle_of_a_load() -> None:
     def check(orders: str, loss: str) -> None:
         with Cluster() as cluster:
-            daemons = start(cluster, orders=orders)
-            holder = holder_of(cluster, daemons)
+            daemons = start_cluster(cluster, orders=orders)
+            holder = wait_for_lease_holder(cluster, daemons)
             others = [daemon for daemon in daemons if daemon is not holder]
-            cluster.fault(cluster.platform, store_slow_factor=LOAD_WAITS)
-            waiting = in_background(lambda: chat(others[0]))
-            wait_until(lambda: entries(cluster, "runner", "load"), what="a load")
+            cluster.inject_faults(cluster.platform, store_slow_factor=LOAD_SLOWDOWN)
+            waiting = run_in_background(lambda: chat(others[0]))
+            wait_until(lambda: journal_entries(cluster, "runner", "load"), description="a load")
             if loss == "killed":
                 holder.kill()
                 cluster.remove_host(holder.name)
             else:
                 holder.pause()
-                holder_of(cluster, others)
+                wait_for_lease_holder(cluster, others)
                 holder.resume()
             assert waiting.result().status == 200
             live = others if loss == "killed" else daemons
             for number, daemon in enumerate(live):
                 assert chat(daemon).status == 200
                 assert chat(daemon, f"m{number + 1}").status == 200
-            assert len(entries(cluster, "runner", "load", model="m0")) == 1
+            assert len(journal_entries(cluster, "runner", "load", model="m0")) == 1
             check_placement(cluster)
 
-    each([(orders, loss) for orders in ("checked", "unchecked") for loss in ("killed", "paused")],
-         check, at_once=2)
+    check_all_cases([(orders, loss) for orders in ("checked", "unchecked")
+                     for loss in ("killed", "paused")],
+                    check, max_concurrent_cases=2)
 
 
 def test_runner_lost_in_the_middle_of_a_load() -> None:
     def check(loss: str) -> None:
         with Cluster() as cluster:
-            daemons = start(cluster)
-            cluster.fault(cluster.platform, store_slow_factor=LOAD_WAITS)
-            waiting = in_background(lambda: chat(daemons[1]))
-            wait_until(lambda: entries(cluster, "runner", "load"), what="a load")
-            lost = cluster.processes[entries(cluster, "runner", "load")[0]["endpoint"]]
+            daemons = start_cluster(cluster)
+            cluster.inject_faults(cluster.platform, store_slow_factor=LOAD_SLOWDOWN)
+            waiting = run_in_background(lambda: chat(daemons[1]))
+            wait_until(lambda: journal_entries(cluster, "runner", "load"), description="a load")
+            lost = cluster.processes[journal_entries(cluster, "runner", "load")[0]["endpoint"]]
             if loss == "killed":
                 lost.kill()
                 cluster.remove_host(lost.name)
@@ -62,33 +64,33 @@
             assert waiting.result().status == 200
             check_placement(cluster)
 
-    each([("killed",), ("restarted",)], check)
+    check_all_cases([("killed",), ("restarted",)], check)
 
 
 def test_lost_answers_to_orders_and_table_calls_make_no_second_load() -> None:
     def check(orders: str, on_runner: dict, on_table: dict) -> None:
         with Cluster() as cluster:
-            daemons = start(cluster, orders=orders)
+            daemons = start_cluster(cluster, orders=orders)
             for name in ("runner-0", "runner-1"):
-                cluster.fault(cluster.processes[name], **on_runner)
-            cluster.fault(cluster.platform, **on_table)
+                cluster.inject_faults(cluster.processes[name], **on_runner)
+            cluster.inject_faults(cluster.platform, **on_table)
             for number, daemon in enumerate(daemons):
                 assert chat(daemon, f"m{number}").status == 200
             check_placement(cluster)
-            assert len(entries(cluster, "runner", "load")) == 3
+            assert len(journal_entries(cluster, "runner", "load")) == 3
 
-    each([
+    check_all_cases([
         ("checked", {"order_lose_answers": 2}, {}),
         ("unchecked", {"order_lose_answers": 2}, {}),
         ("checked", {}, {"table_lose_answers": 3}),
         ("unchecked", {"order_lose_answers": 1}, {"table_lose_answers": 2}),
         ("checked", {"order_delay_ms": 300}, {}),
-    ], check, at_once=2)
+    ], check, max_concurrent_cases=2)
 
 
 def test_paused_runner_does_not_hold_up_orders_to_others() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, runners=4, order_threads=2)
+        daemons = start_cluster(cluster, runners=4, order_threads=2)
         cluster.processes["runner-0"].pause()
         cluster.processes["runner-1"].pause()
         # The lease holder requests the inventory of each runner every 2 s, and places no model on a
@@ -104,11 +106,12 @@
 def test_long_table_outage() -> None:
     def check(orders: str) -> None:
         with Cluster() as cluster:
-            daemons = start(cluster, orders=orders)
+            daemons = start_cluster(cluster, orders=orders)
             assert chat(daemons[0], "m0").status == 200
-            holder = holder_of(cluster, daemons)
-            cluster.fault(cluster.platform, table_down=1)
-            wait_until(lambda: cluster.apply(daemons[1], document(), 1).status == 503)
+            holder = wait_for_lease_holder(cluster, daemons)
+            cluster.inject_faults(cluster.platform, table_down=1)
+            wait_until(lambda: cluster.apply_configuration(
+                daemons[1], configuration_document(), 1).status == 503)
             # The 90 requests take at least 40 ms each, which is longer than two lease lengths of
             # 1.5 s. Requests for a loaded model succeed all the time. A request for another model
             # is served where runners check fencing tokens, and is refused otherwise.
@@ -121,22 +124,24 @@
                 if orders == "checked":
                     assert answer.status == 200, answer
                 else:
-                    assert (answer.status, code(answer)) == (503, 2104), answer
+                    assert (answer.status, result_code(answer)) == (503, 2104), answer
                     assert int(answer.headers["retry-after"]) > 0
-            cluster.fault(cluster.platform, table_down=0)
-            wait_until(lambda: chat(daemons[2], "m5").status == 200, what="a load after the outage")
-            assert cluster.apply(daemons[1], document(orders), 1).status == 200
+            cluster.inject_faults(cluster.platform, table_down=0)
+            wait_until(lambda: chat(daemons[2], "m5").status == 200,
+                       description="a load after the outage")
+            assert cluster.apply_configuration(
+                daemons[1], configuration_document(orders), 1).status == 200
             check_placement(cluster)
 
-    each([("checked",), ("unchecked",)], check)
+    check_all_cases([("checked",), ("unchecked",)], check)
 
 
 def test_crashed_runner_that_stays_on_the_list_does_not_keep_its_models() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, runners=3)
+        daemons = start_cluster(cluster, runners=3)
         assert chat(daemons[0]).status == 200
-        holding = next(n for n in range(3) if entries(cluster, f"runner-{n}", "load"))
-        cluster.processes[f"runner-{holding}"].kill()
+        loaded_runner = next(n for n in range(3) if journal_entries(cluster, f"runner-{n}", "load"))
+        cluster.processes[f"runner-{loaded_runner}"].kill()
         answers = [chat(daemon) for daemon in daemons]
         assert [answer.status for answer in answers] == [200] * 3, answers
-        assert len(entries(cluster, "runner", "load")) == 1
+        assert len(journal_entries(cluster, "runner", "load")) == 1
--- a/tests/process/test_faults_request.py
+++ b/tests/process/test_faults_request.py
@@ -9,75 +9,76 @@
 from threading import Event
 
 from fixture import (
-    chat, code, each, entries, in_background, pay, start, text_of, together,
+    chat, check_all_cases, journal_entries, pay, result_code, run_concurrently, run_in_background,
+    start_cluster, without_ids,
 )
 from local_cluster import Cluster, Process, wait_until
 
-IN_PROGRESS, NOT_RUN, UNKNOWN, EARLIER_UNKNOWN = 1302, 2103, 3101, 3102
+IN_PROGRESS, CLAIM_UNAVAILABLE, OUTCOME_UNKNOWN, EARLIER_OUTCOME_UNKNOWN = 1302, 2103, 3101, 3102
 
 
 def test_interrupted_stream_reaches_the_caller_whole() -> None:
     def check(faults: dict, is_whole: bool) -> None:
         with Cluster() as cluster:
-            daemon = start(cluster, daemons=1)[0]
+            daemon = start_cluster(cluster, daemons=1)[0]
             undisturbed = chat(daemon, tokens=20, stream=True)
             assert undisturbed.body.endswith(b"data: [DONE]\n\n")
             for name in ("runner-0", "runner-1"):
-                cluster.fault(cluster.processes[name], **faults)
+                cluster.inject_faults(cluster.processes[name], **faults)
             answer = chat(daemon, tokens=20, stream=True)
-            runs = entries(cluster, "runner", "run")
+            served = journal_entries(cluster, "runner", "run")
             if is_whole:
-                assert text_of(answer) == text_of(undisturbed), answer
-                assert len(runs) > 2 and runs[-1]["offset"] in (0, 5)
+                assert without_ids(answer) == without_ids(undisturbed), answer
+                assert len(served) > 2 and served[-1]["offset"] in (0, 5)
             else:
                 assert b"[DONE]" not in answer.body and b"event: error" in answer.body, answer
 
-    each([
+    check_all_cases([
         ({"cut_streams": 1, "cut_at": 5}, True),
         ({"cut_streams": 2, "cut_at": 5}, True),
         ({"silent_streams": 1, "silent_at": 5}, True),
         ({"cut_streams": 1, "cut_at": 5, "crossed_answers": 1}, True),
         ({"cut_streams": 1_000, "cut_at": 5}, False),
-    ], check, at_once=3)
+    ], check, max_concurrent_cases=3)
 
 
 def test_engine_killed_in_the_middle_of_a_stream() -> None:
     with Cluster() as cluster:
-        daemon = start(cluster, daemons=1, runner_options=("--token-ms", "30"))[0]
+        daemon = start_cluster(cluster, daemons=1, runner_options=("--token-ms", "30"))[0]
         undisturbed = chat(daemon, tokens=40, stream=True)
-        streaming = in_background(lambda: chat(daemon, tokens=40, stream=True))
-        wait_until(lambda: len(entries(cluster, "runner", "run")) == 2)
-        runner = cluster.processes[entries(cluster, "runner", "run")[0]["endpoint"]]
+        streaming = run_in_background(lambda: chat(daemon, tokens=40, stream=True))
+        wait_until(lambda: len(journal_entries(cluster, "runner", "run")) == 2)
+        runner = cluster.processes[journal_entries(cluster, "runner", "run")[0]["endpoint"]]
         runner.kill()
         cluster.remove_host(runner.name)
-        assert text_of(streaming.result()) == text_of(undisturbed)
-        assert len(entries(cluster, "runner", "run")) == 1
+        assert without_ids(streaming.result()) == without_ids(undisturbed)
+        assert len(journal_entries(cluster, "runner", "run")) == 1
 
 
 def test_crossed_answers_are_never_passed_on() -> None:
     def check(count: int, status: int) -> None:
         with Cluster() as cluster:
-            daemon = start(cluster, daemons=1)[0]
+            daemon = start_cluster(cluster, daemons=1)[0]
             expected = chat(daemon).json()["choices"]
             for name in ("runner-0", "runner-1"):
-                cluster.fault(cluster.processes[name], crossed_answers=count)
+                cluster.inject_faults(cluster.processes[name], crossed_answers=count)
             answer = chat(daemon)
             assert answer.status == status, answer
             assert status != 200 or answer.json()["choices"] == expected
 
-    each([(1, 200), (1_000, 502)], check)
+    check_all_cases([(1, 200), (1_000, 502)], check)
 
 
-def runs(cluster: Cluster, key: str) -> int:
-    return len(entries(cluster, "ledger", "run", key=key))
+def ledger_run_count(cluster: Cluster, key: str) -> int:
+    return len(journal_entries(cluster, "ledger", "run", key=key))
 
 
-def check_truth(cluster: Cluster, key: str, answers: list) -> None:
+def check_reported_execution(cluster: Cluster, key: str, answers: list) -> None:
     """Asserts that the payment ran at most once and ran if an answer reports success.
 
     Every other answer has to state the execution as an error does.
     """
-    count = runs(cluster, key)
+    count = ledger_run_count(cluster, key)
     assert count <= 1
     assert count == 1 or all(answer.status != 200 for answer in answers)
     for answer in answers:
@@ -88,80 +89,83 @@
 def test_payment_runs_at_most_once() -> None:
     def lose_answer(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
-            cluster.fault(cluster.processes[name], lose_answers=1)
+            cluster.inject_faults(cluster.processes[name], lose_answers=1)
         answers = [pay(daemon, "k") for daemon in daemons]
         # The daemon stores the outcome of the key after it has answered the first request. Until
         # then requests with the same key are refused as in progress.
-        assert code(answers[0]) == UNKNOWN
-        assert {code(answer) for answer in answers[1:]} <= {IN_PROGRESS, EARLIER_UNKNOWN}
-        wait_until(lambda: code(pay(daemons[2], "k")) == EARLIER_UNKNOWN)
-        assert runs(cluster, "k") == 1
+        assert result_code(answers[0]) == OUTCOME_UNKNOWN
+        assert {result_code(answer) for answer in answers[1:]} <= {
+            IN_PROGRESS, EARLIER_OUTCOME_UNKNOWN}
+        wait_until(lambda: result_code(pay(daemons[2], "k")) == EARLIER_OUTCOME_UNKNOWN)
+        assert ledger_run_count(cluster, "k") == 1
         return answers
 
     def kill_service(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
-            cluster.fault(cluster.processes[name], slow_ms=20_000)
-        first = in_background(lambda: pay(daemons[0], "k"))
-        wait_until(lambda: runs(cluster, "k") == 1)
-        cluster.processes[entries(cluster, "ledger", "run")[0]["endpoint"]].kill()
+            cluster.inject_faults(cluster.processes[name], slow_ms=20_000)
+        first = run_in_background(lambda: pay(daemons[0], "k"))
+        wait_until(lambda: ledger_run_count(cluster, "k") == 1)
+        cluster.processes[journal_entries(cluster, "ledger", "run")[0]["endpoint"]].kill()
         answers = [first.result(), *(pay(daemon, "k") for daemon in daemons)]
-        assert [code(answer) for answer in answers] == [UNKNOWN] + [EARLIER_UNKNOWN] * 3
-        assert runs(cluster, "k") == 0  # The other ledger never got the payment.
+        assert [result_code(answer) for answer in answers] == [
+            OUTCOME_UNKNOWN] + [EARLIER_OUTCOME_UNKNOWN] * 3
+        assert ledger_run_count(cluster, "k") == 0  # The other ledger never got the payment.
         return answers
 
     def kill_daemon(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
-            cluster.fault(cluster.processes[name], slow_ms=500)
-        first = in_background(lambda: pay(daemons[0], "k"))
-        wait_until(lambda: runs(cluster, "k") == 1)
+            cluster.inject_faults(cluster.processes[name], slow_ms=500)
+        first = run_in_background(lambda: pay(daemons[0], "k"))
+        wait_until(lambda: ledger_run_count(cluster, "k") == 1)
         daemons[0].kill()
         assert first.exception() is not None
         answers = [pay(daemons[1], "k")]
         cluster.remove_host(daemons[0].name)
-        wait_until(lambda: code(pay(daemons[2], "k")) == EARLIER_UNKNOWN)
+        wait_until(lambda: result_code(pay(daemons[2], "k")) == EARLIER_OUTCOME_UNKNOWN)
         return answers
 
     def send_twice_at_once(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
-            cluster.fault(cluster.processes[name], slow_ms=300)
-        answers = together(*(lambda d=daemon: pay(d, "k") for daemon in daemons * 3))
+            cluster.inject_faults(cluster.processes[name], slow_ms=300)
+        answers = run_concurrently(*(lambda d=daemon: pay(d, "k") for daemon in daemons * 3))
         assert 200 in [answer.status for answer in answers]
-        assert {code(answer) for answer in answers} <= {0, IN_PROGRESS}, answers
+        assert {result_code(answer) for answer in answers} <= {0, IN_PROGRESS}, answers
         return answers
 
     def table_down(cluster: Cluster, daemons: list[Process]) -> list:
-        cluster.fault(cluster.platform, table_down=1)
+        cluster.inject_faults(cluster.platform, table_down=1)
         answers = [pay(daemon, "k") for daemon in daemons]
-        assert [code(answer) for answer in answers] == [NOT_RUN] * 3
-        assert runs(cluster, "k") == 0
-        cluster.fault(cluster.platform, table_down=0)
+        assert [result_code(answer) for answer in answers] == [CLAIM_UNAVAILABLE] * 3
+        assert ledger_run_count(cluster, "k") == 0
+        cluster.inject_faults(cluster.platform, table_down=0)
         wait_until(lambda: pay(daemons[1], "k").status == 200)
         return answers[:0]
 
     def table_loses_answers(cluster: Cluster, daemons: list[Process]) -> list:
-        cluster.fault(cluster.platform, table_lose_answers=4)
+        cluster.inject_faults(cluster.platform, table_lose_answers=4)
         return [pay(daemon, "k") for daemon in daemons * 2]
 
     def cut_off_by_deadline(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
             cluster.processes[name].pause()
         answers = [pay(daemons[0], "k")]
-        assert code(answers[0]) in (UNKNOWN, 2107, 2108), answers
+        assert result_code(answers[0]) in (OUTCOME_UNKNOWN, 2107, 2108), answers
         for name in ("ledger-0", "ledger-1"):
             cluster.processes[name].resume()
         return answers + [pay(daemon, "k") for daemon in daemons]
 
     def check(case) -> None:
         with Cluster() as cluster:
-            daemons = start(cluster, runners=0, ledgers=2)
-            check_truth(cluster, "k", case(cluster, daemons))
+            daemons = start_cluster(cluster, runners=0, ledgers=2)
+            check_reported_execution(cluster, "k", case(cluster, daemons))
 
-    each([(case,) for case in (lose_answer, kill_service, kill_daemon, send_twice_at_once,
-                               table_down, table_loses_answers, cut_off_by_deadline)],
-         check, at_once=3)
+    check_all_cases([(case,) for case in (lose_answer, kill_service, kill_daemon,
+                                          send_twice_at_once, table_down, table_loses_answers,
+                                          cut_off_by_deadline)],
+                    check, max_concurrent_cases=3)
 
 
-def drop_dead_runners(cluster: Cluster, is_done: Event) -> None:
+def remove_crashed_runners(cluster: Cluster, is_done: Event) -> None:
     """Removes crashed runners from the host list until is_done is set, as the platform does."""
     while not is_done.wait(0.05):
         for name, process in list(cluster.processes.items()):
@@ -171,17 +175,17 @@
 
 def test_request_that_crashes_engines_is_stopped_after_two() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, runners=5, runner_options=("--token-ms", "20"))
+        daemons = start_cluster(cluster, runners=5, runner_options=("--token-ms", "20"))
         assert chat(daemons[0]).status == 200
-        innocents = in_background(lambda: together(
+        unaffected = run_in_background(lambda: run_concurrently(
             *(lambda n=n: chat(daemons[n % 3], prompt=f"innocent {n}") for n in range(12))))
         is_done = Event()
-        in_background(lambda: drop_dead_runners(cluster, is_done))
+        run_in_background(lambda: remove_crashed_runners(cluster, is_done))
         crashing = [chat(daemons[n % 3], prompt="CRASH-THE-ENGINE") for n in range(6)]
         is_done.set()
         assert all(answer.status in (422, 502, 503) for answer in crashing), crashing
         assert [answer.status for answer in crashing[-2:]] == [422, 422], crashing
-        statuses = [answer.status for answer in innocents.result()]
-        assert statuses == [200] * 12, innocents.result()
-        dead = [n for n, p in cluster.processes.items() if p.popen.poll() is not None]
-        assert len(dead) <= 2, dead
+        statuses = [answer.status for answer in unaffected.result()]
+        assert statuses == [200] * 12, unaffected.result()
+        crashed = [n for n, p in cluster.processes.items() if p.popen.poll() is not None]
+        assert len(crashed) <= 2, crashed
--- a/tests/process/test_front.py
+++ b/tests/process/test_front.py
@@ -7,7 +7,7 @@
 import socket
 from pathlib import Path
 
-from fixture import pay, start
+from fixture import pay, start_cluster
 from local_cluster import Cluster
 
 IDLE_CONNECTIONS = 4_000
@@ -32,7 +32,7 @@
         f"the hard limit of {hard} descriptors is below {DESCRIPTORS}")
     resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
     with Cluster() as cluster:
-        daemons = start(cluster, runners=0, ledgers=1, daemons=1)
+        daemons = start_cluster(cluster, runners=0, ledgers=1, daemons=1)
         idle = [connect(daemons[0].addresses["caller"]) for _ in range(IDLE_CONNECTIONS)]
         answer = pay(daemons[0], "beside-idle")
         assert answer.status == 200, answer
@@ -49,7 +49,7 @@
         "no number": "Content-Length: five\r\n",
     }
     with Cluster() as cluster:
-        daemons = start(cluster, runners=0, ledgers=1, daemons=1)
+        daemons = start_cluster(cluster, runners=0, ledgers=1, daemons=1)
         for name, fields in cases.items():
             with connect(daemons[0].addresses["caller"]) as connection:
                 connection.sendall(
--- a/tests/process/test_operator.py
+++ b/tests/process/test_operator.py
@@ -10,16 +10,16 @@
 
 import yaml
 from examples import lanna_wings, nominas
-from local_cluster import OPERATOR_KEY, ROOT, Cluster, Process, call, wait_until
+from local_cluster import OPERATOR_KEY, ROOT, Cluster, Process, send_request, wait_until
 from rhubarbtrail_config import (Configuration, Customer, FixedKeepAlive, HistogramKeepAlive, Model,
                                  ModelService, PlainService, RequestClass, Route, Store, key_hash)
-from test_path import chat, entries, start
+from test_path import chat, journal_entries, start_nominas_cluster
 
 BINARY = ROOT / "build" / "rhubarbtrail"
 
 
-def run(*arguments: str, daemon: Process | None = None, text: str = "",
-        key: str = OPERATOR_KEY) -> subprocess.CompletedProcess:
+def run_command(*arguments: str, daemon: Process | None = None, text: str = "",
+                key: str = OPERATOR_KEY) -> subprocess.CompletedProcess:
     """Runs one subcommand; the daemon's admin address and the key are passed in the environment."""
     environment = {**os.environ, "RHUBARBTRAIL_KEY": key}
     if daemon is not None:
@@ -32,12 +32,13 @@
     with Cluster() as cluster:
         cluster.start_platform()
         daemon = cluster.start_daemon("daemon-0")
-        taken = yaml.safe_load((cluster.path / "daemon-0.yaml").read_text())
+        valid_settings = yaml.safe_load((cluster.path / "daemon-0.yaml").read_text())
         bad = cluster.path / "bad.yaml"
         bad.write_text("daemon_id: x\nnonsense: 1\n")
-        full = cluster.path / "taken.yaml"
+        port_in_use = cluster.path / "taken.yaml"
         port = int(daemon.addresses["admin"].split(":")[1])
-        full.write_text(yaml.safe_dump({**taken, "address_file": "", "admin_port": port}))
+        port_in_use.write_text(
+            yaml.safe_dump({**valid_settings, "address_file": "", "admin_port": port}))
         good = str(cluster.path / "daemon-0.yaml")
         cases = [
             (0, ["--help"], "config"),
@@ -49,14 +50,14 @@
             (2, ["no-such-command"], ""),
             (2, ["config", "check", "/no/such/file"], "cannot be read"),
             (2, ["config", "apply", good, "--admin", "x"], "--based-on"),
-            (3, ["serve", "--settings", str(full)], "cannot be bound"),
+            (3, ["serve", "--settings", str(port_in_use)], "cannot be bound"),
             (4, ["status", "--admin", "127.0.0.1:1"], "cannot be reached"),
             (1, ["status", "--admin", daemon.addresses["admin"], "--key", "wrong"], "Refused"),
         ]
         for code, arguments, text in cases:
-            done = run(*arguments)
-            assert done.returncode == code, (arguments, done)
-            assert text in done.stdout + done.stderr, (arguments, done)
+            completed = run_command(*arguments)
+            assert completed.returncode == code, (arguments, completed)
+            assert text in completed.stdout + completed.stderr, (arguments, completed)
 
 
 def test_what_the_library_prints_is_accepted() -> None:
@@ -69,13 +70,13 @@
         Customer("c", shared, models=["a"]),
     )
     for configuration in (nominas.build(), lanna_wings.build(), unusual):
-        done = run("config", "check", "-", text=configuration.to_yaml())
-        assert done.returncode == 0, done
+        completed = run_command("config", "check", "-", text=configuration.to_yaml())
+        assert completed.returncode == 0, completed
     for module in ("nominas", "lanna_wings"):
         printed = subprocess.run([sys.executable, str(ROOT / f"python/examples/{module}.py")],
                                  env={**os.environ, "PYTHONPATH": str(ROOT / "python")},
                                  capture_output=True, text=True, check=True).stdout
-        assert run("config", "check", "-", text=printed).returncode == 0
+        assert run_command("config", "check", "-", text=printed).returncode == 0
 
 
 def test_wrong_use_of_the_library_fails_where_it_is_written() -> None:
@@ -115,7 +116,7 @@
 
 def test_versions_race_diff_history_and_going_back() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, runners=1)
+        daemons = start_nominas_cluster(cluster, runners=1)
         file = cluster.path / "document.yaml"
         document = yaml.safe_load(nominas.build().to_yaml())
         document["classes"]["summary"]["deadline_ms"] = 500_000
@@ -123,29 +124,30 @@
         file.write_text(yaml.safe_dump(document))
         changes = ["changed classes.summary.deadline_ms: 600000 -> 500000",
                    "removed models.payslip-49", "removed models.payslip-49.adapters.tone-49"]
-        shown = run("config", "diff", str(file), daemon=daemons[1])
+        shown = run_command("config", "diff", str(file), daemon=daemons[1])
         assert shown.returncode == 0 and shown.stdout.split("\n")[0] == "Based on version 1:"
         assert [line.strip() for line in shown.stdout.splitlines()[1:]] == changes, shown
 
-        applied = run("config", "apply", str(file), "--based-on", "1", "--comment", "less",
-                      "--wait", "20", daemon=daemons[1])
+        applied = run_command("config", "apply", str(file), "--based-on", "1", "--comment", "less",
+                              "--wait", "20", daemon=daemons[1])
         assert applied.returncode == 0 and "All live daemons" in applied.stdout, applied
-        late = run("config", "apply", "-", "--based-on", "1", daemon=daemons[2],
-                   text=nominas.build().to_yaml())
+        late = run_command("config", "apply", "-", "--based-on", "1", daemon=daemons[2],
+                           text=nominas.build().to_yaml())
         assert late.returncode == 1 and "Version 2 was accepted by operator" in late.stderr, late
         assert "added models.payslip-49" in late.stderr, late
-        back = run("config", "apply", "--from-version", "1", "--wait", "20", daemon=daemons[0])
+        back = run_command("config", "apply", "--from-version", "1", "--wait", "20",
+                           daemon=daemons[0])
         assert back.returncode == 0 and "Version 3" in back.stdout, back
-        history = run("config", "history", daemon=daemons[2]).stdout.splitlines()
+        history = run_command("config", "history", daemon=daemons[2]).stdout.splitlines()
         assert [line.split()[0] for line in history] == ["3", "2", "1"], history
         assert "less" in history[1] and "operator" in history[1], history
-        first, third = (run("config", "show", "--version", str(n), daemon=daemons[0]).stdout
+        first, third = (run_command("config", "show", "--version", str(n), daemon=daemons[0]).stdout
                         for n in (1, 3))
         assert first == third
 
         daemons[2].pause()
-        waited = run("config", "apply", str(file), "--based-on", "3", "--wait", "2",
-                     daemon=daemons[0])
+        waited = run_command("config", "apply", str(file), "--based-on", "3", "--wait", "2",
+                             daemon=daemons[0])
         daemons[2].resume()
         assert waited.returncode == 1, waited
         assert "daemon-2 does not report it" in waited.stderr, waited
@@ -153,28 +155,29 @@
 
 def test_a_drained_runner_gets_no_new_work_and_an_audit_line_is_left() -> None:
     with Cluster() as cluster:
-        daemon = start(cluster, runners=2, daemons=1, log_format="json")[0]
-        drained = run("drain", "--service", "language", "--runner", "runner-0", daemon=daemon)
+        daemon = start_nominas_cluster(cluster, runners=2, daemons=1, log_format="json")[0]
+        drained = run_command("drain", "--service", "language", "--runner", "runner-0",
+                              daemon=daemon)
         assert drained.returncode == 0, drained
         wait_until(lambda: cluster.dump(daemon)["view.endpoints.runner-0"] == "leaving")
         for number in range(4):
             assert chat(daemon, f"payslip-{number}").status == 200
-        assert entries(cluster, "runner-0", "load") == []
-        assert len(entries(cluster, "runner-1", "load")) == 4
-        undone = run("drain", "--service", "language", "--runner", "runner-0", "--undo",
-                     daemon=daemon)
+        assert journal_entries(cluster, "runner-0", "load") == []
+        assert len(journal_entries(cluster, "runner-1", "load")) == 4
+        undone = run_command("drain", "--service", "language", "--runner", "runner-0", "--undo",
+                             daemon=daemon)
         assert undone.returncode == 0, undone
         wait_until(lambda: cluster.dump(daemon)["view.endpoints.runner-0"] == "live")
         lines = [yaml.safe_load(line) for line in daemon.log.read_text().splitlines()]
         audit = [line["message"] for line in lines if line["part"] == "operator"]
         assert "operator changed the configuration to version 2: no comment." in audit, audit
         assert OPERATOR_KEY not in daemon.log.read_text()
-        assert run("drain", daemon=daemon, key="view-key").returncode == 1
-        assert run("drain", daemon=daemon).returncode == 0
+        assert run_command("drain", daemon=daemon, key="view-key").returncode == 1
+        assert run_command("drain", daemon=daemon).returncode == 0
         assert daemon.popen.wait(30) == 0
 
 
-def send_and_take_off_the_dead(cluster: Cluster, daemon: Process) -> str:
+def send_crashing_request(cluster: Cluster, daemon: Process) -> str:
     """Sends a request that crashes runners, and returns its result code.
 
     Meanwhile removes the crashed runners from the host list, as the platform does.
@@ -191,15 +194,16 @@
 
 def test_a_quarantined_request_is_listed_and_released_on_every_daemon() -> None:
     with Cluster() as cluster:
-        daemons = start(cluster, runners=4, daemons=2)
-        assert send_and_take_off_the_dead(cluster, daemons[0]) == "5103"
+        daemons = start_nominas_cluster(cluster, runners=4, daemons=2)
+        assert send_crashing_request(cluster, daemons[0]) == "5103"
         wait_until(lambda: "5101" == chat(daemons[1], prompt="CRASH-THE-ENGINE")
                    .headers["x-result-code"])
-        listed = yaml.safe_load(run("quarantine", "list", daemon=daemons[1]).stdout)
+        listed = yaml.safe_load(run_command("quarantine", "list", daemon=daemons[1]).stdout)
         assert len(listed) == 1, listed
         fingerprint = listed[0]["fingerprint"]
-        assert run("quarantine", "release", "other", daemon=daemons[1]).returncode == 1
-        assert run("quarantine", "release", fingerprint, daemon=daemons[1]).returncode == 0
+        assert run_command("quarantine", "release", "other", daemon=daemons[1]).returncode == 1
+        assert run_command("quarantine", "release", fingerprint, daemon=daemons[1]).returncode == 0
         for daemon in daemons:
-            wait_until(lambda d=daemon: call(d.addresses["admin"], "GET", "/quarantine", headers={
-                "Authorization": f"Bearer {OPERATOR_KEY}"}).json() == [])
+            wait_until(lambda d=daemon: send_request(
+                d.addresses["admin"], "GET", "/quarantine",
+                headers={"Authorization": f"Bearer {OPERATOR_KEY}"}).json() == [])
