--- a/tests/edge/soak.py
+++ b/tests/edge/soak.py
@@ -3,8 +3,9 @@
     python3 tests/edge/soak.py --seed 1 --seconds 30
 
 Two threads inject one fault after the other, so that up to two faults overlap. At the end the
-answers and the orders that endpoints got are checked against the guarantees of the daemon. The seed
-determines the random choices of faults, but not the timing: two runs with one seed may differ.
+answers and the orders that endpoints got are checked against the guarantees of the daemon. Both
+threads draw from one generator that starts from the seed, so which of them injects a fault depends
+on the timing, and two runs with one seed may differ.
 """
 
 from __future__ import annotations
--- a/tests/process/test_faults_request.py
+++ b/tests/process/test_faults_request.py
@@ -76,7 +76,8 @@
 def check_reported_execution(cluster: Cluster, key: str, answers: list) -> None:
     """Asserts that the payment ran at most once and ran if an answer reports success.
 
-    Every other answer has to state the execution as an error does.
+    Every other answer has to state that the request was not run, may have run, or ran and lost its
+    answer.
     """
     count = ledger_run_count(cluster, key)
     assert count <= 1
