--- a/demo/local_cluster.py
+++ b/demo/local_cluster.py
@@ -1,4 +1,4 @@
-"""Starts daemons and stand-ins on loopback, and stops what it started."""
+"""Runs daemons and platform stand-ins on loopback, for the demo, the tests and the benchmarks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Process:
-    """A process that the cluster started, with its addresses."""
+    """A started daemon or stand-in, with the addresses that it listens on by kind of port."""
 
     name: str
     popen: subprocess.Popen
@@ -41,33 +41,39 @@
     def resume(self) -> None:
         os.kill(self.popen.pid, signal.SIGCONT)
 
-    def terminate(self, timeout: float = 30.0) -> int:
+    def terminate(self, timeout_s: float = 30.0) -> int:
         self.popen.terminate()
-        return self.popen.wait(timeout)
+        return self.popen.wait(timeout_s)
 
 
 @dataclass
-class Answer:
+class HttpAnswer:
+    """An HTTP response with lower-case header names and the time until its last byte."""
+
     status: int
     headers: dict[str, str]
     body: bytes
-    seconds: float
+    duration_s: float
 
     def json(self) -> Any:
         return json.loads(self.body)
 
 
-def call(
+def send_request(
     address: str,
     method: str,
     path: str,
     body: Optional[Any] = None,
     headers: Optional[dict[str, str]] = None,
-    timeout: float = 60.0,
-) -> Answer:
-    """Makes one HTTP call; a body that is not bytes is sent as JSON."""
+    timeout_s: float = 60.0,
+) -> HttpAnswer:
+    """Sends one HTTP request on a new connection; a body that is not bytes is sent as JSON.
+
+    timeout_s limits each socket operation. Raises OSError or HTTPException if no complete response
+    arrives.
+    """
     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
-    connection = http.client.HTTPConnection(address, timeout=timeout)
+    connection = http.client.HTTPConnection(address, timeout=timeout_s)
     started = time.monotonic()
     try:
         connection.request(
@@ -75,7 +81,7 @@
         )
         response = connection.getresponse()
         content = response.read()
-        return Answer(
+        return HttpAnswer(
             response.status,
             {name.lower(): value for name, value in response.getheaders()},
             content,
@@ -85,28 +91,37 @@
         connection.close()
 
 
-def wait_until(check, timeout: float = START_TIMEOUT_S, what: str = "condition") -> None:
-    """Polls until check() is true; the limit only bounds a test that has failed."""
-    end = time.monotonic() + timeout
+def wait_until(
+    condition, timeout_s: float = START_TIMEOUT_S, description: str = "a condition"
+) -> None:
+    """Polls condition() every 20 ms until it is true; OSError counts as false.
+
+    Raises TimeoutError after timeout_s. The timeout is no measure of speed: it only ends a test
+    that has failed.
+    """
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
-            if check():
+            if condition():
                 return
         except OSError:
             pass
         time.sleep(0.02)
-    raise TimeoutError(f"{what} did not come within {timeout} s")
+    raise TimeoutError(f"timed out after {timeout_s} s waiting for {description}")
 
 
 class Cluster:
-    """Stand-ins and daemons in a directory of their own."""
+    """Stand-ins and daemons whose settings and logs are in a temporary directory.
+
+    Stops the processes and removes the directory at the end of a with block.
+    """
 
     def __init__(self, build: Path = ROOT / "build") -> None:
         self._build = build
         self._directory = tempfile.TemporaryDirectory(prefix="rhubarbtrail-")
         self.path = Path(self._directory.name)
         self.processes: dict[str, Process] = {}
-        self._hosts: dict[str, dict[str, str]] = {}
+        self._host_entries: dict[str, dict[str, str]] = {}
         keys = [
             {"name": role, "hash": _sha256(f"{role}-key"), "role": role}
             for role in ("view", "operate", "configure")
@@ -128,6 +143,7 @@
         self._directory.cleanup()
 
     def _spawn(self, name: str, command: list[str], address_file: Path) -> Process:
+        """Starts a process and waits until it has written its addresses to address_file."""
         address_file.unlink(missing_ok=True)
         log = self.path / f"{name}.log"
         with log.open("ab") as output:
@@ -135,10 +151,11 @@
         process = Process(name, popen, {}, log)
         self.processes[name] = process
         wait_until(
-            lambda: address_file.exists() or popen.poll() is not None, what=f"start of {name}"
+            lambda: address_file.exists() or popen.poll() is not None,
+            description=f"start of {name}"
         )
         if popen.poll() is not None:
-            raise RuntimeError(f"{name} ended at once: {log.read_text()}")
+            raise RuntimeError(f"{name} exited at start with {popen.returncode}: {log.read_text()}")
         for line in address_file.read_text().splitlines():
             kind, _, address = line.rpartition(": ")
             process.addresses[kind or "address"] = address
@@ -159,6 +176,10 @@
     def start_endpoint(
         self, name: str, role: str, service: str, zone: str = "a", *options: str
     ) -> Process:
+        """Starts the stand-in of an endpoint and puts it on the host list.
+
+        The process id serves as boot id, so that a restart under the same name has a new one.
+        """
         file = self.path / f"{name}.address"
         command = [str(self._build / "standin"), role, "--id", name, "--address-file", str(file)]
         process = self._spawn(
@@ -178,20 +199,21 @@
         return process
 
     def set_host(self, name: str, entry: dict[str, str]) -> None:
-        self._hosts[name] = entry
-        call(self.platform.address, "POST", "/admin/hosts", {"set": [entry]})
+        self._host_entries[name] = entry
+        send_request(self.platform.address, "POST", "/admin/hosts", {"set": [entry]})
 
-    def host(self, name: str) -> dict[str, str]:
-        return self._hosts[name]
+    def host_entry(self, name: str) -> dict[str, str]:
+        return self._host_entries[name]
 
     def has_host(self, name: str) -> bool:
-        return name in self._hosts
+        return name in self._host_entries
 
     def remove_host(self, name: str) -> None:
-        self._hosts.pop(name, None)
-        call(self.platform.address, "POST", "/admin/hosts", {"remove": [name]})
+        self._host_entries.pop(name, None)
+        send_request(self.platform.address, "POST", "/admin/hosts", {"remove": [name]})
 
     def start_daemon(self, name: str, zone: str = "a", **settings: Any) -> Process:
+        """Starts a daemon and puts it on the host list; settings override the defaults below."""
         file = self.path / f"{name}.address"
         values = {
             "daemon_id": name,
@@ -215,8 +237,9 @@
         )
         return process
 
-    def apply(self, daemon: Process, document: str, based_on: int) -> Answer:
-        return call(
+    def apply_configuration(self, daemon: Process, document: str, based_on: int) -> HttpAnswer:
+        """Submits a configuration document; based_on is the version that it replaces."""
+        return send_request(
             daemon.addresses["admin"],
             "POST",
             "/configuration",
@@ -227,12 +250,13 @@
     def wait_ready(self, *daemons: Process) -> None:
         for daemon in daemons:
             wait_until(
-                lambda d=daemon: call(d.addresses["admin"], "GET", "/ready").status == 200,
-                what=f"readiness of {daemon.name}",
+                lambda d=daemon: send_request(d.addresses["admin"], "GET", "/ready").status == 200,
+                description=f"readiness of {daemon.name}",
             )
 
     def dump(self, daemon: Process) -> dict[str, str]:
-        answer = call(
+        """Returns the internal state that the daemon reports on its admin port, by path."""
+        answer = send_request(
             daemon.addresses["admin"],
             "GET",
             "/dump",
@@ -240,11 +264,13 @@
         )
         return {entry["path"]: entry["value"] for entry in answer.json()}
 
-    def fault(self, process: Process, **faults: int) -> None:
-        call(process.address, "POST", "/admin/fault", faults)
+    def inject_faults(self, process: Process, **faults: int) -> None:
+        """Sets faults of a stand-in by name; 0 switches a fault off."""
+        send_request(process.address, "POST", "/admin/fault", faults)
 
     def journal(self, process: Process) -> list[dict[str, Any]]:
-        return call(process.address, "GET", "/journal").json()
+        """Returns the events that a stand-in has recorded, such as loads and runs."""
+        return send_request(process.address, "GET", "/journal").json()
 
 
 def _sha256(text: str) -> str:
--- a/python/rhubarbtrail_config/__init__.py
+++ b/python/rhubarbtrail_config/__init__.py
@@ -1,7 +1,8 @@
 """Builds rhubarbtrail configuration documents.
 
-A program declares services, models, request classes and customers, and prints the document:
-wrong values fail where they are written.
+A program declares services, models, request classes and customers, and prints the document. A
+wrong value raises ValueError or TypeError in the constructor that it is passed to, or in add().
+References that may point forward are checked by to_yaml().
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def key_hash(key: str) -> str:
-    """Returns what a document stores of an API key: its SHA-256."""
+    """Returns the SHA-256 of an API key in hex, which a document has in place of the key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -30,19 +31,19 @@
 
 
 def _check_number(low: float, high: float, **values: float) -> None:
-    """Refuses what is no whole number, or no number where the bounds have fractions."""
-    kinds = (int, float) if isinstance(low, float) else (int,)
+    """Checks the type and the bounds of numbers; a float is accepted only if low is a float."""
+    accepted_types = (int, float) if isinstance(low, float) else (int,)
     for name, value in values.items():
-        if not isinstance(value, kinds) or isinstance(value, bool):
+        if not isinstance(value, accepted_types) or isinstance(value, bool):
             raise TypeError(f"{name} must be a number, not {value!r}")
         if not low <= value <= high:
             raise ValueError(f"{name} must be {low} to {high}, not {value}")
 
 
-def _check_word(words: tuple[str, ...], **values: str) -> None:
+def _check_choice(choices: tuple[str, ...], **values: str) -> None:
     for name, value in values.items():
-        if value not in words:
-            raise ValueError(f"{name} must be one of {', '.join(words)}, not {value!r}")
+        if value not in choices:
+            raise ValueError(f"{name} must be one of {', '.join(choices)}, not {value!r}")
 
 
 def _check_names(**values: list[str]) -> None:
@@ -56,7 +57,7 @@
 
 
 class _Dumper(yaml.SafeDumper):
-    """Writes values out where YAML would put an alias."""
+    """Writes repeated values in full, where YAML would write an alias."""
 
     def ignore_aliases(self, data: Any) -> bool:
         return True
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True)
 class FixedKeepAlive:
-    """Unloads a replica that was idle for a fixed time."""
+    """Unloads a replica that has been idle for a fixed time."""
 
     idle_limit_ms: int = 60_000
 
@@ -77,7 +78,10 @@
 
 @dataclass(frozen=True)
 class HistogramKeepAlive:
-    """Unloads a replica after a percentile of the idle times seen for its model."""
+    """Unloads a replica after a percentile of the observed idle times of its model.
+
+    The time is kept between minimum_ms and maximum_ms.
+    """
 
     percentile: int = 90
     minimum_ms: int = 5_000
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True)
 class CostAwareKeepAlive:
-    """Weighs the cold start that is avoided against the memory that is held."""
+    """Weighs the cost of a cold start against the memory that an idle replica occupies."""
 
     cold_start_weight: float = 1.0
 
@@ -116,7 +120,7 @@
 
 @dataclass(frozen=True)
 class Store:
-    """Limits of the weight store."""
+    """Limits on loads from the store of model weights."""
 
     concurrent_loads: int = 4
     loads_per_second: float = 4.0
@@ -137,7 +141,10 @@
 
 @dataclass(frozen=True)
 class ModelService:
-    """A service whose runners load models on order."""
+    """A service whose runners load models on the orders of the daemons.
+
+    orders is "checked" if the runners check the fencing token of each order.
+    """
 
     name: str
     orders: Literal["checked", "unchecked"] = "checked"
@@ -151,7 +158,7 @@
     def __post_init__(self) -> None:
         _check_name(self.name)
         _check_names(drained=self.drained)
-        _check_word(("checked", "unchecked"), orders=self.orders)
+        _check_choice(("checked", "unchecked"), orders=self.orders)
         _check_number(1, 10_000, endpoint_concurrency=self.endpoint_concurrency)
         _check_number(
             1,
@@ -177,7 +184,10 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Assigns a request class to the calls under a path."""
+    """Assigns a request class to the requests whose path starts with path.
+
+    Without method the route applies to all methods.
+    """
 
     path: str
     request_class: str
@@ -190,7 +200,7 @@
             raise ValueError("a route's path has no blank, question mark or hash")
         _check_name(self.request_class)
         if self.method is not None:
-            _check_word(_METHODS, method=self.method)
+            _check_choice(_METHODS, method=self.method)
 
     def to_dict(self) -> dict[str, Any]:
         entry = {"path": self.path, "class": self.request_class}
@@ -201,7 +211,10 @@
 
 @dataclass(frozen=True)
 class PlainService:
-    """A service that answers HTTP calls and takes no orders."""
+    """A service whose endpoints answer HTTP requests and load no models.
+
+    The first route that matches a request applies.
+    """
 
     name: str
     routes: list[Route]
@@ -231,7 +244,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A model, with the memory of each of its adapters."""
+    """A model; adapters has the memory of each adapter in MB by name."""
 
     name: str
     service: str
@@ -266,7 +279,10 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """How urgent a kind of request is, and whether it may run twice."""
+    """The priority and the deadline of a class of requests, and whether they may run twice.
+
+    Priority 0 is the most urgent.
+    """
 
     name: str
     priority: int = 1
@@ -277,7 +293,7 @@
         _check_name(self.name)
         _check_number(0, 9, priority=self.priority)
         _check_number(1, _DAY_MS, deadline_ms=self.deadline_ms)
-        _check_word(("allowed", "never"), repeat=self.repeat)
+        _check_choice(("allowed", "never"), repeat=self.repeat)
 
     def to_dict(self) -> dict[str, Any]:
         return {"priority": self.priority, "deadline_ms": self.deadline_ms, "repeat": self.repeat}
@@ -285,7 +301,7 @@
 
 @dataclass(frozen=True)
 class Customer:
-    """Who may call what, with the hashes of its API keys."""
+    """A customer with the hashes of its API keys, and the models and services that it may use."""
 
     name: str
     key_hashes: list[str]
@@ -320,10 +336,10 @@
 
 
 class Configuration:
-    """A whole configuration; add() refuses names that appear twice."""
+    """A complete configuration. add() raises ValueError for a name that appears twice."""
 
     def __init__(self) -> None:
-        self._parts: dict[str, dict[str, Any]] = {
+        self._sections: dict[str, dict[str, Any]] = {
             "services": {},
             "models": {},
             "classes": {},
@@ -333,7 +349,7 @@
     def add(
         self, *parts: Union[ModelService, PlainService, Model, RequestClass, Customer]
     ) -> "Configuration":
-        sections = {
+        section_of_type = {
             ModelService: "services",
             PlainService: "services",
             Model: "models",
@@ -341,10 +357,10 @@
             Customer: "customers",
         }
         for part in parts:
-            section = sections[type(part)]
-            if part.name in self._parts[section]:
+            section = section_of_type[type(part)]
+            if part.name in self._sections[section]:
                 raise ValueError(f"{section}: {part.name!r} appears twice")
-            self._parts[section][part.name] = part.to_dict()
+            self._sections[section][part.name] = part.to_dict()
         for part in parts:
             if isinstance(part, Model):
                 self._check_model(part)
@@ -353,8 +369,11 @@
         return self
 
     def _check_model(self, model: Model) -> None:
-        """A model's service comes before it, and has room for it."""
-        service = self._parts["services"].get(model.service)
+        """Checks that the service was added before its model and that the model fits a runner.
+
+        The model has to fit together with all of its adapters.
+        """
+        service = self._sections["services"].get(model.service)
         if service is None or service["kind"] != "models":
             raise ValueError(f"{model.name}: there is no model service {model.service!r} yet")
         needed = model.memory_mb + sum(model.adapters.values())
@@ -363,28 +382,28 @@
             raise ValueError(f"{model.name}: needs {needed} MB, a runner has {available} MB")
 
     def _check_keys(self, customer: Customer) -> None:
-        for name, other in self._parts["customers"].items():
+        for name, other in self._sections["customers"].items():
             if name != customer.name and set(other["key_hashes"]) & set(customer.key_hashes):
                 raise ValueError(f"{customer.name}: shares a key with {name}")
 
     def _check_references(self) -> None:
-        """Checks the references that may point forward."""
-        for name, service in self._parts["services"].items():
+        """Checks the references that may name a part added later."""
+        for name, service in self._sections["services"].items():
             for route in service.get("routes", []):
-                if route["class"] not in self._parts["classes"]:
+                if route["class"] not in self._sections["classes"]:
                     raise ValueError(f"{name}: there is no class {route['class']!r}")
-        for name, customer in self._parts["customers"].items():
+        for name, customer in self._sections["customers"].items():
             models = [] if customer["models"] == "all" else customer["models"]
             for model in models:
-                if model not in self._parts["models"]:
+                if model not in self._sections["models"]:
                     raise ValueError(f"{name}: there is no model {model!r}")
             for service in customer["services"]:
-                if self._parts["services"].get(service, {}).get("kind") != "plain":
+                if self._sections["services"].get(service, {}).get("kind") != "plain":
                     raise ValueError(f"{name}: there is no plain service {service!r}")
-        if self._parts["models"] and "default" not in self._parts["classes"]:
+        if self._sections["models"] and "default" not in self._sections["classes"]:
             raise ValueError("the class 'default' is needed for requests that name none")
 
     def to_yaml(self) -> str:
-        """Returns the document."""
+        """Returns the document. Raises ValueError for a reference to a missing part."""
         self._check_references()
-        return yaml.dump(self._parts, Dumper=_Dumper, sort_keys=False)
+        return yaml.dump(self._sections, Dumper=_Dumper, sort_keys=False)
--- a/tests/process/test_front.py
+++ b/tests/process/test_front.py
@@ -1,4 +1,4 @@
-"""The product's own front under callers that hold connections or send unsound requests."""
+"""The HTTP server for callers: thousands of idle connections, and requests with invalid framing."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import socket
 from pathlib import Path
 
-from fixture import pay, start
+from fixture import pay, start_cluster
 from local_cluster import Cluster
 
 IDLE_CONNECTIONS = 4_000
-DESCRIPTORS = 2 * IDLE_CONNECTIONS + 1_000  # Of this process and of the daemon.
+DESCRIPTORS = 2 * IDLE_CONNECTIONS + 1_000  # Limit of this process, which the daemon inherits.
 MEMORY_LIMIT_KB = 60 * 1_024
 
 
@@ -28,10 +28,11 @@
 
 def test_payment_beside_idle_connections() -> None:
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    assert hard == resource.RLIM_INFINITY or hard >= DESCRIPTORS, "too few descriptors allowed"
+    assert hard == resource.RLIM_INFINITY or hard >= DESCRIPTORS, (
+        f"the hard limit of {hard} descriptors is below {DESCRIPTORS}")
     resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, hard))
     with Cluster() as cluster:
-        daemons = start(cluster, runners=0, ledgers=1, daemons=1)
+        daemons = start_cluster(cluster, runners=0, ledgers=1, daemons=1)
         idle = [connect(daemons[0].addresses["caller"]) for _ in range(IDLE_CONNECTIONS)]
         answer = pay(daemons[0], "beside-idle")
         assert answer.status == 200, answer
@@ -48,7 +49,7 @@
         "no number": "Content-Length: five\r\n",
     }
     with Cluster() as cluster:
-        daemons = start(cluster, runners=0, ledgers=1, daemons=1)
+        daemons = start_cluster(cluster, runners=0, ledgers=1, daemons=1)
         for name, fields in cases.items():
             with connect(daemons[0].addresses["caller"]) as connection:
                 connection.sendall(
