--- a/src/core/boot_clock.h
+++ b/src/core/boot_clock.h
@@ -1,4 +1,4 @@
-/* The clock that goes on counting while the host is suspended. */
+/* The clock that also counts the time during which the host is suspended. */
 #ifndef RHUBARBTRAIL_CORE_BOOT_CLOCK_H
 #define RHUBARBTRAIL_CORE_BOOT_CLOCK_H
 
@@ -8,8 +8,9 @@
 
 namespace rhubarbtrail {
 
-/* Returns the time since the host started, suspensions included. A lease must not outlive a
- * suspension, which the steady clock leaves out. */
+/* Returns the time since the host booted, including the time during which it was suspended
+ * (CLOCK_BOOTTIME). The steady clock stops during a suspension, so that a lease that expired
+ * meanwhile would still look valid afterwards. */
 inline TimePoint BootTime()
 {
   timespec now{};
@@ -18,7 +19,7 @@
                                                          std::chrono::nanoseconds{ now.tv_nsec }) };
 }
 
-/* Returns a duration in whole milliseconds, as logs and metrics give it. */
+/* Returns a duration in whole milliseconds, rounded towards zero, as logs and metrics show it. */
 inline std::int64_t Milliseconds(Duration aDuration)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count();
--- a/src/core/connect_probe.cpp
+++ b/src/core/connect_probe.cpp
@@ -1,4 +1,4 @@
-/* A single connect, whose error number httplib does not pass on. */
+/* A single TCP connect. cpp-httplib does not report the error number of its own connects. */
 #include "core/connect_probe_func.h"
 
 #include <arpa/inet.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/* Returns the error of a connect, or 0 when it succeeded. */
+/* Returns the error number of a connect, or 0 if it succeeded. */
 int ConnectError(int aSocket, const sockaddr_in& aTarget, Duration aTimeout)
 {
   if (connect(aSocket, reinterpret_cast<const sockaddr*>(&aTarget), sizeof(aTarget)) == 0) {
--- a/src/core/connect_probe_func.h
+++ b/src/core/connect_probe_func.h
@@ -1,4 +1,4 @@
-/* Tells a host that refuses connections from one that cannot be reached. */
+/* Distinguishes a host that refuses connections from a host that cannot be reached. */
 #ifndef RHUBARBTRAIL_CORE_CONNECT_PROBE_FUNC_H
 #define RHUBARBTRAIL_CORE_CONNECT_PROBE_FUNC_H
 
@@ -8,9 +8,9 @@
 
 namespace rhubarbtrail {
 
-/* Connects to host:port, given as IP numbers, and returns whether the host answered that nobody
- * listens there. A connection that succeeds, is not answered in time or has no route gives false.
- */
+/* Connects to an address of the form IPv4:port and returns whether the host refused the connection
+ * (ECONNREFUSED): the host is reachable, and no process listens on the port. Returns false if the
+ * connection succeeds, times out or has no route. */
 bool IsConnectionRefused(const std::string& aAddress, Duration aTimeout);
 
 } // namespace rhubarbtrail
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -1,4 +1,4 @@
-/* Digests on OpenSSL. */
+/* Digests, constant-time comparison and random identifiers on OpenSSL. */
 #include "core/digest_func.h"
 
 #include <openssl/crypto.h>
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -1,4 +1,4 @@
-/* Structured logs: one JSON object a line, bounded in volume, never blocking. */
+/* The structured event log: rate limits, JSON serialization and non-blocking output. */
 #include "core/event_log.h"
 
 #include "core/boot_clock.h"
@@ -17,7 +17,8 @@
 
 namespace {
 
-/* Returns the time of day, for people; decisions never use it. */
+/* Returns the wall-clock time in UTC for readers of the log. Nothing else uses it, because the wall
+ * clock can jump. */
 std::string TimeOfDay()
 {
   using namespace std::chrono;
@@ -26,7 +27,8 @@
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(seconds), millis % 1'000);
 }
 
-/* Appends a text in quotes. Plain texts, which nearly all are, need no escapes. */
+/* Appends a JSON string. Nearly all texts are printable ASCII without quotes or backslashes and
+ * take the fast path without escaping. */
 void AppendText(std::string& aOut, const std::string& aText)
 {
   const bool isPlain = std::all_of(aText.begin(), aText.end(), [](unsigned char aCharacter) {
@@ -92,7 +94,7 @@
 
 void EventLog::Flush()
 {
-  // A pipe that is ready takes at least this much without blocking.
+  // A pipe that poll() reports as writable accepts at least this many bytes without blocking.
   constexpr std::size_t kPieceSize = PIPE_BUF;
   std::size_t written = 0;
   while (written < mBuffer.size()) {
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -1,4 +1,5 @@
-/* Structured logs: one JSON object a line, bounded in volume, never blocking. */
+/* The structured event log: one JSON object per line, limited in rate, never blocking. The plain
+ * log messages are in core/log_func.h. */
 #ifndef RHUBARBTRAIL_CORE_EVENT_LOG_H
 #define RHUBARBTRAIL_CORE_EVENT_LOG_H
 
@@ -15,7 +16,7 @@
 
 namespace rhubarbtrail {
 
-/* A named value of a log line. */
+/* A key and its value in a log line. */
 struct LogField
 {
   using Value = std::variant<std::string, std::int64_t, double, bool>;
@@ -60,14 +61,15 @@
 
 struct EventLogOptions
 {
-  std::string daemon;                    ///< Named in each line.
-  int descriptor = 1;                    ///< Where the lines go; standard output.
-  double linesPerSecond = 40.0;          ///< Of one kind of event, in the long run.
-  double burst = 200.0;                  ///< Lines of one kind beyond that.
-  std::size_t bufferBytes = 256U << 10U; ///< Waiting lines; more are dropped.
+  std::string daemon;                    ///< Written to each line.
+  int descriptor = 1;                    ///< File descriptor of the output; 1 is standard output.
+  double linesPerSecond = 40.0;          ///< Long-term rate limit for lines of one event.
+  double burst = 200.0;                  ///< Lines of one event that may exceed the rate at once.
+  std::size_t bufferBytes = 256U << 10U; ///< Lines are dropped while this much waits for output.
 };
 
-/* Collects lines and writes them when Flush() is called and the reader has room. */
+/* Buffers lines and writes them when Flush() is called, as far as the output accepts them without
+ * blocking. Not thread-safe. */
 class EventLog
 {
 public:
@@ -76,21 +78,24 @@
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /* Adds a line for an event, unless its kind has used its share up. */
+  /* Adds a line for an event. The line is left out if the event exceeds its rate limit, or if the
+   * buffer is full. The next line of the same event then has the number of lines left out as
+   * "left_out". */
   void Write(std::string_view aEvent, std::initializer_list<LogField> aFields);
 
-  /* Writes what the reader takes without blocking. */
+  /* Writes as many buffered bytes as the output accepts without blocking. */
   void Flush();
 
-  /* Returns the lines that were left out or dropped so far. */
+  /* Returns the number of lines of all events that were left out so far, for either reason. */
   std::uint64_t leftOut() const { return mLeftOut; }
 
 private:
+  /* Token bucket of one event: each line takes a token. */
   struct Budget
   {
     double tokens = 0.0;
-    TimePoint at{};
-    std::uint64_t leftOut = 0; ///< Since the last line of the kind.
+    TimePoint at{};            ///< When the tokens were last refilled.
+    std::uint64_t leftOut = 0; ///< Lines left out since the last line of the event.
   };
 
   EventLogOptions mOptions;
--- a/src/core/exit_code_type.h
+++ b/src/core/exit_code_type.h
@@ -7,11 +7,11 @@
 enum ExitCode : int
 {
   kExitOk = 0,
-  kExitRefused = 1,      ///< The daemon refused, or what was waited for did not come.
+  kExitRefused = 1,      ///< The daemon refused the command, or the time limit of --wait passed.
   kExitBadInput = 2,     ///< Wrong arguments, settings, keys or document.
   kExitCannotListen = 3, ///< A port cannot be bound.
-  kExitUnreachable = 4,  ///< The daemon does not answer.
-  kExitRequestsLeft = 5, ///< Requests were still open when the shutdown limit had passed.
+  kExitUnreachable = 4,  ///< The daemon did not answer.
+  kExitRequestsLeft = 5, ///< Requests were still open when the shutdown time limit passed.
 };
 
 } // namespace rhubarbtrail
--- a/src/core/http_client.cpp
+++ b/src/core/http_client.cpp
@@ -1,4 +1,4 @@
-/* Plain HTTP calls on cpp-httplib. */
+/* Blocking HTTP calls on cpp-httplib. */
 #include "core/http_client_func.h"
 
 #include "core/connect_probe_func.h"
@@ -12,11 +12,13 @@
 
 namespace {
 
-/* Connections that one thread keeps open at most. */
+/* Largest number of connections that a thread keeps open. A call to a further address closes them
+ * all. */
 constexpr std::size_t kConnectionLimit = 64;
 
 using ClientMap = std::unordered_map<std::string, std::unique_ptr<httplib::Client>>;
 
+/* Returns the client for an address and creates it if there is none. */
 httplib::Client& ClientFor(ClientMap& aClients, const std::string& aAddress)
 {
   if (aClients.size() >= kConnectionLimit && !aClients.contains(aAddress)) {
--- a/src/core/http_client_func.h
+++ b/src/core/http_client_func.h
@@ -1,4 +1,5 @@
-/* Plain HTTP calls with time limits. */
+/* Blocking HTTP calls with time limits, on cpp-httplib. The event-driven client is in
+ * http/http_client.h. */
 #ifndef RHUBARBTRAIL_CORE_HTTP_CLIENT_FUNC_H
 #define RHUBARBTRAIL_CORE_HTTP_CLIENT_FUNC_H
 
@@ -13,8 +14,8 @@
 enum class HttpOutcome : std::uint8_t
 {
   kAnswered,
-  kNotConnected, ///< No byte of the request can have left.
-  kLost,         ///< The request may have arrived; there is no whole answer.
+  kNotConnected, ///< No connection could be opened, so no byte of the request was sent.
+  kLost,         ///< The request may have arrived, but no complete answer was received.
 };
 
 struct HttpCall
@@ -25,7 +26,7 @@
   std::string body;
   std::string contentType = "application/json";
   std::vector<std::pair<std::string, std::string>> headers;
-  Duration timeout = 2s;
+  Duration timeout = 2s; ///< For the connect, and for each read and each write.
 };
 
 struct HttpAnswer
@@ -33,11 +34,13 @@
   HttpOutcome outcome = HttpOutcome::kLost;
   int status = 0;
   std::string body;
-  bool isRefused = false; ///< With kNotConnected: the host answered that nobody listens there.
+  /* With kNotConnected: the host refused the connection, because no process listens on the port. */
+  bool isRefused = false;
 };
 
-/* Makes one call. A thread keeps its connections open for its next calls; a connection that
- * timed out is closed, since it may have gone silent for good. */
+/* Sends a request and waits for the answer. Each thread keeps its connections open for later calls.
+ * After a failed call its connection is closed, because a connection that timed out may never
+ * answer again. */
 HttpAnswer CallHttp(const HttpCall& aCall);
 
 } // namespace rhubarbtrail
--- a/src/core/http_server.cpp
+++ b/src/core/http_server.cpp
@@ -1,4 +1,4 @@
-/* Starting and stopping a server. */
+/* Starts and stops a cpp-httplib server. */
 #include "core/http_server.h"
 
 #include <httplib.h>
@@ -9,8 +9,9 @@
 
 namespace {
 
-/* Connections that may wait to be accepted. The HTTP library asks for 5, and the kernel then drops
- * a burst's connections, whose callers try again after a second. */
+/* Length of the queue of connections that wait to be accepted. cpp-httplib sets it to 5. With so
+ * short a queue the kernel drops connection attempts of a burst, and clients retry only after a
+ * second. */
 constexpr int kBacklog = 1'024;
 
 } // namespace
@@ -18,7 +19,7 @@
 std::uint16_t HttpServerThread::Start(const std::string& aAddress, std::uint16_t aPort)
 {
   int listener = -1;
-  // The library would share the port with other processes.
+  // Replaces the default of cpp-httplib, which would let other processes share the port.
   mServer.set_socket_options([&listener](int aSocket) {
     listener = aSocket;
     const int on = 1;
@@ -35,7 +36,8 @@
   }
   listen(listener, kBacklog);
   mThread = std::thread([this] { mServer.listen_after_bind(); });
-  // A server that is stopped before it listens would listen forever.
+  // Waits until the server runs: a stop() before that would have no effect, and the thread would
+  // never end.
   while (!mServer.is_running()) {
     std::this_thread::yield();
   }
--- a/src/core/http_server.h
+++ b/src/core/http_server.h
@@ -1,4 +1,4 @@
-/* Starting and stopping a cpp-httplib server, the same way for all that we listen on. */
+/* Runs a cpp-httplib server on its own thread. The event-driven server is in http/http_server.h. */
 #ifndef RHUBARBTRAIL_CORE_HTTP_SERVER_H
 #define RHUBARBTRAIL_CORE_HTTP_SERVER_H
 
@@ -12,7 +12,7 @@
 
 namespace rhubarbtrail {
 
-/* Runs a server on a thread of its own. */
+/* Runs a server on its own thread. */
 class HttpServerThread
 {
 public:
@@ -24,11 +24,12 @@
   HttpServerThread(const HttpServerThread&) = delete;
   HttpServerThread& operator=(const HttpServerThread&) = delete;
 
-  /* Binds and serves; port 0 lets the kernel choose. Returns the port, or 0 when it cannot be
-   * bound. The port is ours alone, and bursts of connections wait in the kernel. */
+  /* Binds the address and starts serving. With port 0, the kernel chooses a port. Returns the port,
+   * or 0 if it cannot be bound. The port is not shared with other processes, and the accept queue
+   * is long enough for bursts of connections. */
   std::uint16_t Start(const std::string& aAddress, std::uint16_t aPort);
 
-  /* Closes the listening socket and waits for the answers under way. */
+  /* Closes the listening socket and waits until the answers in progress are complete. */
   void Stop();
 
 private:
--- a/src/core/id_type.h
+++ b/src/core/id_type.h
@@ -1,4 +1,5 @@
-/* Strong types for identifiers, so that a model name cannot be passed as a customer name. */
+/* Strong types for identifiers, so that the compiler rejects, for example, a model where a customer
+ * is expected. */
 #ifndef RHUBARBTRAIL_CORE_ID_TYPE_H
 #define RHUBARBTRAIL_CORE_ID_TYPE_H
 
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -1,4 +1,4 @@
-/* Logs on spdlog. */
+/* Log messages on spdlog. */
 #include "core/log_func.h"
 
 #include "core/log_json.h"
@@ -19,7 +19,7 @@
 
 using LoggerArray = std::array<std::shared_ptr<spdlog::logger>, kParts.size()>;
 
-/* The loggers of all parts; empty until the logs are set up. */
+/* The loggers of all parts; null until SetUpLogs() is called. */
 LoggerArray& Loggers()
 {
   static LoggerArray sLoggers;
--- a/src/core/log_json.cpp
+++ b/src/core/log_json.cpp
@@ -1,4 +1,4 @@
-/* Log lines as JSON objects. */
+/* Formats log messages as JSON objects. */
 #include "core/log_json.h"
 
 #include <nlohmann/json.hpp>
@@ -21,7 +21,7 @@
     { "part", text(aMessage.logger_name) },
     { "message", text(aMessage.payload) }
   };
-  // Bytes that are not UTF-8 are replaced, so that every line can be parsed.
+  // Invalid UTF-8 is replaced, so that every line is valid JSON.
   const std::string whole =
     line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
   aOut.append(whole.data(), whole.data() + whole.size());
--- a/src/core/log_json.h
+++ b/src/core/log_json.h
@@ -1,4 +1,4 @@
-/* Log lines as JSON objects. */
+/* Formats log messages as JSON objects. */
 #ifndef RHUBARBTRAIL_CORE_LOG_JSON_H
 #define RHUBARBTRAIL_CORE_LOG_JSON_H
 
@@ -7,7 +7,7 @@
 
 namespace rhubarbtrail {
 
-/* Writes each line as one JSON object with time (UTC), level, part and message. */
+/* Formats each message as one line with a JSON object of time (UTC), level, part and message. */
 class JsonLogFormatter : public spdlog::formatter
 {
 public:
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -1,4 +1,4 @@
-/* Counters and latency quantiles on Boost.Accumulators. */
+/* Counters and latencies: quantiles by Boost.Accumulators, buckets by Boost.Histogram. */
 #include "core/metrics.h"
 
 #include <boost/accumulators/accumulators.hpp>
@@ -26,16 +26,18 @@
 using Total = accumulators::
   accumulator_set<double, accumulators::stats<accumulators::tag::count, accumulators::tag::sum>>;
 
-/* Samples that one stripe holds between two collections. */
+/* Largest number of samples that a stripe holds between two collections. More are dropped. */
 constexpr std::size_t kStripeLimit = 8'192;
 constexpr std::array kQuantiles{ 0.5, 0.95, 0.99 };
 
-/* Upper bounds of the latency buckets, in seconds: from a plain call to the longest deadline. */
+/* Bounds of the latency buckets in seconds. They range from the latency of a plain call to the
+ * longest deadline. */
 using LatencyAxis = boost::histogram::axis::variable<double>;
 const LatencyAxis kLatencyAxis{ 0.0, 0.005, 0.01, 0.025, 0.05, 0.1,  0.25,
                                 0.5, 1.0,   2.5,  5.0,   10.0, 20.0, 60.0 };
 using LatencyHistogram = decltype(boost::histogram::make_histogram(kLatencyAxis));
 
+/* Name and help text of a counter. */
 struct CounterInfo
 {
   std::string_view name;
@@ -52,6 +54,7 @@
   CounterInfo{ "table_transactions_total", "Transactions at the table service." },
 };
 
+/* Writes the HELP and TYPE lines of a metric. */
 void WriteHead(std::ostringstream& aText,
                std::string_view aName,
                std::string_view aType,
@@ -63,7 +66,7 @@
 
 } // namespace
 
-/* The latencies of one request class. */
+/* The latency statistics of one request class. */
 struct Metrics::Series
 {
   void Add(Duration aLatency)
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -1,4 +1,4 @@
-/* Counters and latency quantiles of a daemon, written in the plain text exposition format. */
+/* Counters and request latencies of a daemon, in the text exposition format of Prometheus. */
 #ifndef RHUBARBTRAIL_CORE_METRICS_H
 #define RHUBARBTRAIL_CORE_METRICS_H
 
@@ -18,7 +18,7 @@
 
 namespace rhubarbtrail {
 
-/* Events that are only counted. */
+/* Events that are counted, without further data. */
 enum class Counter : std::uint8_t
 {
   kAttempts,
@@ -28,10 +28,10 @@
   kAdapterLoads,
   kTableReads,
   kTableTransactions,
-  kCount,
+  kCount, ///< Number of the counters above.
 };
 
-/* A finished request. */
+/* A request that has ended, with its result and its latency. */
 struct RequestSample
 {
   ResultCode code = ResultCode::kOk;
@@ -39,7 +39,7 @@
   Duration latency{};
 };
 
-/* A value read when the metrics are written. */
+/* A value that the caller of ToText() supplies. */
 struct Gauge
 {
   std::string name;
@@ -47,8 +47,9 @@
   std::uint64_t value = 0;
 };
 
-/* Request threads write to one of several stripes, each with a lock of its own; the samples are
- * moved to the accumulators by whoever collects or writes the metrics. */
+/* Collects metrics of many threads. To keep lock contention low, each thread adds its samples to
+ * one of several stripes, each with its own lock. Collect() and ToText() move the samples to the
+ * accumulators. */
 class Metrics
 {
 public:
@@ -57,18 +58,19 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
+  /* Adds 1 to a counter. */
   void Count(Counter aCounter)
   {
     mCounters[static_cast<std::size_t>(aCounter)].fetch_add(1, std::memory_order_relaxed);
   }
 
-  /* Notes a finished request. */
+  /* Adds the sample of a finished request, or drops it if its stripe is full. */
   void Note(RequestSample aSample);
 
-  /* Moves the samples noted so far to the accumulators. */
+  /* Moves the samples from the stripes to the accumulators. */
   void Collect();
 
-  /* Returns all metrics as text. */
+  /* Collects the samples and returns all metrics and the given gauges as text. */
   std::string ToText(const std::vector<Gauge>& aGauges);
 
 private:
@@ -77,13 +79,13 @@
   {
     std::mutex mutex;
     std::vector<RequestSample> samples;
-    std::uint64_t dropped = 0; ///< Samples beyond the bound since the last collection.
+    std::uint64_t dropped = 0; ///< Samples beyond the limit since the last collection.
   };
   struct Series;
 
   std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(Counter::kCount)> mCounters{};
   std::array<Stripe, kStripes> mStripes;
-  std::mutex mMutex; ///< Guards the members below; never taken by a request.
+  std::mutex mMutex; ///< Guards the members below. Request threads never lock it.
   std::map<std::pair<ResultCode, ClassId>, std::uint64_t> mRequests;
   std::map<ClassId, std::unique_ptr<Series>> mLatencies;
   std::uint64_t mDropped = 0;
--- a/src/core/number_func.h
+++ b/src/core/number_func.h
@@ -1,4 +1,4 @@
-/* Strict reading of decimal numbers. */
+/* Strict parsing of decimal numbers. */
 #ifndef RHUBARBTRAIL_CORE_NUMBER_FUNC_H
 #define RHUBARBTRAIL_CORE_NUMBER_FUNC_H
 
@@ -9,8 +9,9 @@
 
 namespace rhubarbtrail {
 
-/* Reads a decimal number within bounds; the whole text must be the number. Signs of unsigned
- * numbers, hexadecimal or octal forms, infinity and NaN are refused. */
+/* Parses a decimal number from aLow to aHigh, both included. The whole text must be the number.
+ * Rejects a leading plus, a minus before an unsigned number, hexadecimal notation, NaN, and
+ * infinity beyond the bounds. A leading zero does not mean octal. */
 template<typename Number>
 tl::expected<Number, std::string> ParseNumber(std::string_view aText, Number aLow, Number aHigh)
 {
--- a/src/core/overloaded.h
+++ b/src/core/overloaded.h
@@ -1,4 +1,4 @@
-/* A visitor made of lambdas, one for each alternative of a variant. */
+/* Combines lambdas to a visitor for std::visit, one for each alternative of a variant. */
 #ifndef RHUBARBTRAIL_CORE_OVERLOADED_H
 #define RHUBARBTRAIL_CORE_OVERLOADED_H
 
--- a/src/core/rcu_pointer.h
+++ b/src/core/rcu_pointer.h
@@ -1,4 +1,4 @@
-/* A pointer that many threads read without waiting and one thread replaces. */
+/* A pointer that many threads read without locks and one thread replaces (read-copy-update). */
 #ifndef RHUBARBTRAIL_CORE_RCU_POINTER_H
 #define RHUBARBTRAIL_CORE_RCU_POINTER_H
 
@@ -11,7 +11,7 @@
 
 namespace rhubarbtrail {
 
-/* Tells the thread sanitizer, which does not know read-copy-update, that a reader has finished. */
+/* Tells ThreadSanitizer, which does not understand read-copy-update, that a reader has finished. */
 inline void AnnotateReaderEnd([[maybe_unused]] const void* aPointer)
 {
 #if defined(__SANITIZE_THREAD__)
@@ -19,7 +19,7 @@
 #endif
 }
 
-/* Tells the thread sanitizer that all earlier readers have finished. */
+/* Tells ThreadSanitizer that all earlier readers have finished. */
 inline void AnnotateGracePeriod([[maybe_unused]] const void* aPointer)
 {
 #if defined(__SANITIZE_THREAD__)
@@ -27,7 +27,7 @@
 #endif
 }
 
-/* Registers the calling thread as a reader until it ends. */
+/* Registers the calling thread as an RCU reader until the thread ends. */
 class RcuReaderThread
 {
 public:
@@ -38,6 +38,7 @@
   ~RcuReaderThread() { urcu_memb_unregister_thread(); }
 };
 
+/* Owns a value of which threads read a consistent state while a writer publishes the next one. */
 template<typename Value>
 class RcuPointer
 {
@@ -50,7 +51,8 @@
   RcuPointer(const RcuPointer&) = delete;
   RcuPointer& operator=(const RcuPointer&) = delete;
 
-  /* Calls aReader with the current value, which stays valid until it returns. */
+  /* Calls aReader with the current value, which stays valid until aReader returns. Returns its
+   * result. */
   template<typename Reader>
   auto Read(Reader&& aReader) const
   {
@@ -72,7 +74,8 @@
     return aReader(*__atomic_load_n(&mValue, __ATOMIC_CONSUME));
   }
 
-  /* Replaces the value, and deletes the old one once no reader can see it. One writer only. */
+  /* Replaces the value, waits until no reader uses the old one, and deletes the old one. Must not
+   * be called by two threads at once, nor from within Read(). */
   void Publish(std::unique_ptr<const Value> aValue)
   {
     const Value* old = __atomic_exchange_n(&mValue, aValue.release(), __ATOMIC_ACQ_REL);
--- a/src/core/result_code.cpp
+++ b/src/core/result_code.cpp
@@ -1,4 +1,4 @@
-/* The table of numbered result codes. */
+/* The table of result codes. */
 #include "core/result_code_type.h"
 
 #include <algorithm>
--- a/src/core/result_code_type.h
+++ b/src/core/result_code_type.h
@@ -1,4 +1,5 @@
-/* Numbered result codes: the last word on every request. docs/RESULT_CODES.md explains them. */
+/* The numbered result codes, one of which every request ends with. docs/RESULT_CODES.md explains
+ * them. */
 #ifndef RHUBARBTRAIL_CORE_RESULT_CODE_TYPE_H
 #define RHUBARBTRAIL_CORE_RESULT_CODE_TYPE_H
 
@@ -37,13 +38,13 @@
   kCrashedEndpoints = 5103,
 };
 
-/* What a caller may conclude about the execution of its request. */
+/* What a caller may conclude about whether its request was executed. */
 enum class Execution : std::uint8_t
 {
-  kCompleted,
-  kNotRun,
-  kMayHaveRun,
-  kRanAnswerLost,
+  kCompleted,     ///< It was executed, and this is its answer.
+  kNotRun,        ///< It was not executed.
+  kMayHaveRun,    ///< It may have been executed.
+  kRanAnswerLost, ///< It was executed, but the answer is lost.
 };
 
 /* One row of the result code table. */
@@ -52,17 +53,17 @@
   ResultCode code;
   std::uint16_t httpStatus;
   Execution execution;
-  std::string_view name;
-  std::string_view message;
+  std::string_view name;    ///< In metrics and JSON errors.
+  std::string_view message; ///< One sentence for the caller.
 };
 
 /* Returns all rows, ordered by number. */
 std::span<const ResultCodeInfo> ResultCodes();
 
-/* Returns the row of a code; every enumerator has one. */
+/* Returns the row of a code. Every enumerator has one. */
 const ResultCodeInfo& Describe(ResultCode aCode);
 
-/* Returns the word that a JSON error carries for an execution state. */
+/* Returns the name of an execution state in JSON errors. */
 std::string_view ToString(Execution aExecution);
 
 } // namespace rhubarbtrail
--- a/src/core/unit_type.h
+++ b/src/core/unit_type.h
@@ -1,4 +1,4 @@
-/* Strong types for time, memory, versions and fencing numbers. */
+/* Strong types for time, memory, versions and fencing tokens. */
 #ifndef RHUBARBTRAIL_CORE_UNIT_TYPE_H
 #define RHUBARBTRAIL_CORE_UNIT_TYPE_H
 
@@ -12,7 +12,7 @@
 
 using Duration = std::chrono::microseconds;
 
-/* The clock of one daemon: monotonic, never compared with another daemon's. */
+/* The monotonic clock of one daemon. Its times are never compared with another daemon's. */
 struct DaemonClock
 {
   using duration = Duration;
@@ -39,7 +39,8 @@
   }
 };
 
-/* The number that a runner compares to refuse orders of former lease holders. */
+/* A fencing token. Runners reject an order whose token is lower than one that they have seen, so
+ * that a former lease holder can no longer give orders. */
 struct Fence
 {
   std::uint64_t value = 0;
@@ -47,7 +48,7 @@
   auto operator<=>(const Fence&) const = default;
 };
 
-/* The version of an accepted configuration; 0 means "none yet". */
+/* The version of an accepted configuration; 0 if none has been accepted yet. */
 struct ConfigVersion
 {
   std::uint64_t value = 0;
@@ -55,7 +56,7 @@
   auto operator<=>(const ConfigVersion&) const = default;
 };
 
-/* The version of a row in the table service; 0 means "absent". */
+/* The version of a row in the table service; 0 if the row does not exist. */
 struct RowVersion
 {
   std::uint64_t value = 0;
@@ -63,7 +64,7 @@
   auto operator<=>(const RowVersion&) const = default;
 };
 
-/* Counts the attempts of one request, from 1. */
+/* The number of an attempt of one request, from 1. */
 struct AttemptNumber
 {
   std::uint32_t value = 0;
--- a/src/core/worker_pool.cpp
+++ b/src/core/worker_pool.cpp
@@ -1,4 +1,4 @@
-/* A pool of threads. */
+/* A fixed pool of threads. */
 #include "core/worker_pool.h"
 
 #include <algorithm>
@@ -79,7 +79,7 @@
     if (running != mRunning.end() && --running->second == 0) {
       mRunning.erase(running);
     }
-    // A job that waited for this key may run now.
+    // A queued job with the same key may be able to run now.
     mChanged.notify_one();
   }
 }
--- a/src/core/worker_pool.h
+++ b/src/core/worker_pool.h
@@ -1,4 +1,5 @@
-/* A fixed number of threads that run jobs in the order of their arrival. */
+/* A fixed pool of threads that start jobs in the order in which they were submitted, except that
+ * jobs wait while their key is at its thread limit. */
 #ifndef RHUBARBTRAIL_CORE_WORKER_POOL_H
 #define RHUBARBTRAIL_CORE_WORKER_POOL_H
 
@@ -17,16 +18,17 @@
 class WorkerPool
 {
 public:
+  /* Starts the threads. Jobs of one key use at most aThreadsPerKey of them; 0 for no limit. */
   explicit WorkerPool(std::size_t aThreads, std::size_t aThreadsPerKey = 0);
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
 
-  /* Queues a job; jobs queued after Stop() are dropped. Jobs with the same key use no more than
-   * the threads allowed for a key, so that one slow peer leaves room for the others. */
+  /* Queues a job. Jobs submitted after Stop() are dropped. The key names the peer that a job
+   * depends on: the thread limit of a key keeps a slow peer from occupying all threads. */
   void Submit(std::function<void()> aJob, std::string aKey = {});
 
-  /* Finishes the running jobs, drops the queued ones and joins the threads. */
+  /* Waits for the running jobs, drops the queued ones and joins the threads. */
   void Stop();
 
 private:
@@ -37,7 +39,7 @@
   };
 
   void Run();
-  /* Returns the first queued job whose key has a thread left. */
+  /* Returns the first queued job whose key is below its thread limit, or the end. */
   std::deque<Job>::iterator FindRunnable();
 
   const std::size_t mThreadsPerKey; ///< 0 for no limit.
@@ -45,7 +47,7 @@
   std::mutex mMutex;
   std::condition_variable mChanged;
   std::deque<Job> mJobs;
-  std::unordered_map<std::string, std::size_t> mRunning; ///< Threads in use by key.
+  std::unordered_map<std::string, std::size_t> mRunning; ///< Running jobs by key.
   bool mIsStopping = false;
   std::vector<std::thread> mThreads;
 };
