--- a/src/core/http_client.cpp
+++ b/src/core/httplib_client.cpp
@@ -1,5 +1,5 @@
 /* Blocking HTTP calls on cpp-httplib. */
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 
 #include "core/connect_probe_func.h"
 
--- a/src/core/http_client_func.h
+++ b/src/core/httplib_client_func.h
@@ -1,7 +1,7 @@
 /* Blocking HTTP calls with time limits, on cpp-httplib. The event-driven client is in
  * http/http_client.h. */
-#ifndef RHUBARBTRAIL_CORE_HTTP_CLIENT_FUNC_H
-#define RHUBARBTRAIL_CORE_HTTP_CLIENT_FUNC_H
+#ifndef RHUBARBTRAIL_CORE_HTTPLIB_CLIENT_FUNC_H
+#define RHUBARBTRAIL_CORE_HTTPLIB_CLIENT_FUNC_H
 
 #include "core/unit_type.h"
 
--- a/src/core/http_server.cpp
+++ b/src/core/httplib_server.cpp
@@ -1,5 +1,5 @@
 /* Starts and stops a cpp-httplib server. */
-#include "core/http_server.h"
+#include "core/httplib_server.h"
 
 #include <httplib.h>
 
--- a/src/core/http_server.h
+++ b/src/core/httplib_server.h
@@ -1,6 +1,6 @@
 /* Runs a cpp-httplib server on its own thread. The event-driven server is in http/http_server.h. */
-#ifndef RHUBARBTRAIL_CORE_HTTP_SERVER_H
-#define RHUBARBTRAIL_CORE_HTTP_SERVER_H
+#ifndef RHUBARBTRAIL_CORE_HTTPLIB_SERVER_H
+#define RHUBARBTRAIL_CORE_HTTPLIB_SERVER_H
 
 #include <cstdint>
 #include <string>
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -2,7 +2,7 @@
 #include "endpoint/order_client.h"
 
 #include "codec/json_codec.h"
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -2,7 +2,7 @@
 #include "operator/admin_server.h"
 
 #include "config/configuration_diff.h"
-#include "core/http_server.h"
+#include "core/httplib_server.h"
 #include "core/log_func.h"
 #include "core/number_func.h"
 #include "operator/daemon_status.h"
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -2,7 +2,7 @@
 #ifndef RHUBARBTRAIL_OPERATOR_OPERATOR_COMMANDS_H
 #define RHUBARBTRAIL_OPERATOR_OPERATOR_COMMANDS_H
 
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/table/host_list_client.cpp
+++ b/src/table/host_list_client.cpp
@@ -1,7 +1,7 @@
 /* The host list over HTTP and JSON. */
 #include "table/host_list_client.h"
 
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -1,6 +1,6 @@
 /* Every call of the administration API without a key, with a wrong one and with too low a role. */
 #include "core/digest_func.h"
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 #include "operator/admin_server.h"
 
 #include <doctest/doctest.h>
