--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -29,7 +29,7 @@
 
 /* Appends a JSON string. Nearly all texts are printable ASCII without quotes or backslashes and
  * take the fast path without escaping. */
-void AppendText(std::string& aOut, const std::string& aText)
+void AppendJsonString(std::string& aOut, const std::string& aText)
 {
   const bool isPlain = std::all_of(aText.begin(), aText.end(), [](unsigned char aCharacter) {
     return aCharacter >= 0x20 && aCharacter < 0x7f && aCharacter != '"' && aCharacter != '\\';
@@ -44,7 +44,7 @@
 void AppendField(std::string& aOut, const LogField& aField)
 {
   aOut.append(",\"").append(aField.name).append("\":");
-  std::visit(Overloaded{ [&](const std::string& aText) { AppendText(aOut, aText); },
+  std::visit(Overloaded{ [&](const std::string& aText) { AppendJsonString(aOut, aText); },
                          [&](std::int64_t aNumber) { aOut += std::to_string(aNumber); },
                          [&](double aNumber) { aOut += fmt::format("{:.3f}", aNumber); },
                          [&](bool aFlag) { aOut += aFlag ? "true" : "false"; } },
@@ -71,9 +71,9 @@
     found = mBudgets.emplace(std::string{ aEvent }, Budget{ mOptions.burst, now, 0 }).first;
   }
   Budget& budget = found->second;
-  const double seconds = std::chrono::duration<double>(now - budget.at).count();
+  const double seconds = std::chrono::duration<double>(now - budget.refilledAt).count();
   budget.tokens = std::min(mOptions.burst, budget.tokens + seconds * mOptions.linesPerSecond);
-  budget.at = now;
+  budget.refilledAt = now;
   if (budget.tokens < 1.0 || mBuffer.size() >= mOptions.bufferBytes) {
     ++budget.leftOut;
     ++mLeftOut;
@@ -95,14 +95,14 @@
 void EventLog::Flush()
 {
   // A pipe that poll() reports as writable accepts at least this many bytes without blocking.
-  constexpr std::size_t kPieceSize = PIPE_BUF;
+  constexpr std::size_t kWriteSize = PIPE_BUF;
   std::size_t written = 0;
   while (written < mBuffer.size()) {
     pollfd state{ .fd = mOptions.descriptor, .events = POLLOUT, .revents = 0 };
     if (poll(&state, 1, 0) != 1 || (state.revents & POLLOUT) == 0) {
       break;
     }
-    const std::size_t size = std::min(kPieceSize, mBuffer.size() - written);
+    const std::size_t size = std::min(kWriteSize, mBuffer.size() - written);
     const ssize_t result = write(mOptions.descriptor, mBuffer.data() + written, size);
     if (result <= 0) {
       break;
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -94,7 +94,7 @@
   struct Budget
   {
     double tokens = 0.0;
-    TimePoint at{};            ///< When the tokens were last refilled.
+    TimePoint refilledAt{};    ///< When the tokens were last refilled.
     std::uint64_t leftOut = 0; ///< Lines left out since the last line of the event.
   };
 
--- a/src/core/httplib_client.cpp
+++ b/src/core/httplib_client.cpp
@@ -14,14 +14,14 @@
 
 /* Largest number of connections that a thread keeps open. A call to a further address closes them
  * all. */
-constexpr std::size_t kConnectionLimit = 64;
+constexpr std::size_t kMaxConnectionsPerThread = 64;
 
 using ClientMap = std::unordered_map<std::string, std::unique_ptr<httplib::Client>>;
 
 /* Returns the client for an address and creates it if there is none. */
-httplib::Client& ClientFor(ClientMap& aClients, const std::string& aAddress)
+httplib::Client& ClientForAddress(ClientMap& aClients, const std::string& aAddress)
 {
-  if (aClients.size() >= kConnectionLimit && !aClients.contains(aAddress)) {
+  if (aClients.size() >= kMaxConnectionsPerThread && !aClients.contains(aAddress)) {
     aClients.clear();
   }
   auto& client = aClients[aAddress];
@@ -38,7 +38,7 @@
 HttpAnswer CallHttp(const HttpCall& aCall)
 {
   thread_local ClientMap sClients;
-  httplib::Client& client = ClientFor(sClients, aCall.address);
+  httplib::Client& client = ClientForAddress(sClients, aCall.address);
   client.set_connection_timeout(aCall.timeout);
   client.set_read_timeout(aCall.timeout);
   client.set_write_timeout(aCall.timeout);
--- a/src/core/httplib_server.cpp
+++ b/src/core/httplib_server.cpp
@@ -18,10 +18,10 @@
 
 std::uint16_t HttpServerThread::Start(const std::string& aAddress, std::uint16_t aPort)
 {
-  int listener = -1;
+  int listeningSocket = -1;
   // Replaces the default of cpp-httplib, which would let other processes share the port.
-  mServer.set_socket_options([&listener](int aSocket) {
-    listener = aSocket;
+  mServer.set_socket_options([&listeningSocket](int aSocket) {
+    listeningSocket = aSocket;
     const int on = 1;
     setsockopt(aSocket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   });
@@ -34,7 +34,7 @@
   if (port <= 0) {
     return 0;
   }
-  listen(listener, kBacklog);
+  listen(listeningSocket, kBacklog);
   mThread = std::thread([this] { mServer.listen_after_bind(); });
   // Waits until the server runs: a stop() before that would have no effect, and the thread would
   // never end.
--- a/src/core/log_json.cpp
+++ b/src/core/log_json.cpp
@@ -22,9 +22,9 @@
     { "message", text(aMessage.payload) }
   };
   // Invalid UTF-8 is replaced, so that every line is valid JSON.
-  const std::string whole =
+  const std::string jsonLine =
     line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
-  aOut.append(whole.data(), whole.data() + whole.size());
+  aOut.append(jsonLine.data(), jsonLine.data() + jsonLine.size());
 }
 
 std::unique_ptr<spdlog::formatter> JsonLogFormatter::clone() const
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -27,7 +27,7 @@
   accumulator_set<double, accumulators::stats<accumulators::tag::count, accumulators::tag::sum>>;
 
 /* Largest number of samples that a stripe holds between two collections. More are dropped. */
-constexpr std::size_t kStripeLimit = 8'192;
+constexpr std::size_t kMaxSamplesPerStripe = 8'192;
 constexpr std::array kQuantiles{ 0.5, 0.95, 0.99 };
 
 /* Bounds of the latency buckets in seconds. They range from the latency of a plain call to the
@@ -55,10 +55,10 @@
 };
 
 /* Writes the HELP and TYPE lines of a metric. */
-void WriteHead(std::ostringstream& aText,
-               std::string_view aName,
-               std::string_view aType,
-               std::string_view aHelp)
+void WriteMetricHeader(std::ostringstream& aText,
+                       std::string_view aName,
+                       std::string_view aType,
+                       std::string_view aHelp)
 {
   aText << "# HELP rhubarbtrail_" << aName << " " << aHelp << "\n# TYPE rhubarbtrail_" << aName
         << " " << aType << "\n";
@@ -67,7 +67,7 @@
 } // namespace
 
 /* The latency statistics of one request class. */
-struct Metrics::Series
+struct Metrics::LatencySeries
 {
   void Add(Duration aLatency)
   {
@@ -94,10 +94,10 @@
 void Metrics::Note(RequestSample aSample)
 {
   const std::size_t hash = std::hash<std::thread::id>{}(std::this_thread::get_id());
-  Stripe& stripe = mStripes[hash % kStripes];
+  Stripe& stripe = mStripes[hash % kStripeCount];
   const std::lock_guard lock(stripe.mutex);
-  if (stripe.samples.size() >= kStripeLimit) {
-    ++stripe.dropped;
+  if (stripe.samples.size() >= kMaxSamplesPerStripe) {
+    ++stripe.droppedSamples;
     return;
   }
   stripe.samples.push_back(std::move(aSample));
@@ -111,13 +111,13 @@
     {
       const std::lock_guard stripeLock(stripe.mutex);
       samples.swap(stripe.samples);
-      mDropped += std::exchange(stripe.dropped, 0);
+      mDroppedSamples += std::exchange(stripe.droppedSamples, 0);
     }
     for (const RequestSample& sample : samples) {
-      ++mRequests[{ sample.code, sample.requestClass }];
+      ++mRequestCounts[{ sample.code, sample.requestClass }];
       auto& series = mLatencies[sample.requestClass];
       if (series == nullptr) {
-        series = std::make_unique<Series>();
+        series = std::make_unique<LatencySeries>();
       }
       series->Add(sample.latency);
     }
@@ -129,13 +129,15 @@
   Collect();
   const std::lock_guard lock(mMutex);
   std::ostringstream text;
-  WriteHead(text, "requests_total", "counter", "Finished requests by result code and class.");
-  for (const auto& [key, count] : mRequests) {
+  WriteMetricHeader(
+    text, "requests_total", "counter", "Finished requests by result code and class.");
+  for (const auto& [key, count] : mRequestCounts) {
     text << "rhubarbtrail_requests_total{code=\"" << static_cast<int>(key.first) << "\",name=\""
          << Describe(key.first).name << "\",class=\"" << key.second.str() << "\"} " << count
          << "\n";
   }
-  WriteHead(text, "request_seconds", "summary", "Time from arrival to the end of the answer.");
+  WriteMetricHeader(
+    text, "request_seconds", "summary", "Time from arrival to the end of the answer.");
   for (const auto& [requestClass, series] : mLatencies) {
     const std::string label = "{class=\"" + requestClass.str() + "\"";
     for (std::size_t index = 0; index < kQuantiles.size(); ++index) {
@@ -146,29 +148,29 @@
          << "\nrhubarbtrail_request_seconds_count" << label << "} "
          << accumulators::count(series->total) << "\n";
   }
-  WriteHead(text, "request_latency_seconds", "histogram", "The same times in buckets.");
+  WriteMetricHeader(text, "request_latency_seconds", "histogram", "The same times in buckets.");
   for (const auto& [requestClass, series] : mLatencies) {
     const std::string name = "rhubarbtrail_request_latency_seconds";
     const std::string label = "{class=\"" + requestClass.str() + "\"";
-    double below = 0.0;
+    double cumulativeCount = 0.0;
     for (const auto& bucket : boost::histogram::indexed(series->histogram)) {
-      below += *bucket;
-      text << name << "_bucket" << label << ",le=\"" << bucket.bin().upper() << "\"} " << below
-           << "\n";
+      cumulativeCount += *bucket;
+      text << name << "_bucket" << label << ",le=\"" << bucket.bin().upper() << "\"} "
+           << cumulativeCount << "\n";
     }
     const auto count = accumulators::count(series->total);
     text << name << "_bucket" << label << ",le=\"+Inf\"} " << count << "\n"
          << name << "_sum" << label << "} " << accumulators::sum(series->total) << "\n"
          << name << "_count" << label << "} " << count << "\n";
   }
-  WriteHead(text, "samples_dropped_total", "counter", "Requests that were not measured.");
-  text << "rhubarbtrail_samples_dropped_total " << mDropped << "\n";
+  WriteMetricHeader(text, "samples_dropped_total", "counter", "Requests that were not measured.");
+  text << "rhubarbtrail_samples_dropped_total " << mDroppedSamples << "\n";
   for (std::size_t index = 0; index < kCounterInfos.size(); ++index) {
-    WriteHead(text, kCounterInfos[index].name, "counter", kCounterInfos[index].help);
+    WriteMetricHeader(text, kCounterInfos[index].name, "counter", kCounterInfos[index].help);
     text << "rhubarbtrail_" << kCounterInfos[index].name << " " << mCounters[index] << "\n";
   }
   for (const Gauge& gauge : aGauges) {
-    WriteHead(text, gauge.name, "gauge", gauge.help);
+    WriteMetricHeader(text, gauge.name, "gauge", gauge.help);
     text << "rhubarbtrail_" << gauge.name << " " << gauge.value << "\n";
   }
   return text.str();
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -74,21 +74,21 @@
   std::string ToText(const std::vector<Gauge>& aGauges);
 
 private:
-  static constexpr std::size_t kStripes = 16;
+  static constexpr std::size_t kStripeCount = 16;
   struct Stripe
   {
     std::mutex mutex;
     std::vector<RequestSample> samples;
-    std::uint64_t dropped = 0; ///< Samples beyond the limit since the last collection.
+    std::uint64_t droppedSamples = 0; ///< Samples beyond the limit since the last collection.
   };
-  struct Series;
+  struct LatencySeries;
 
   std::array<std::atomic<std::uint64_t>, static_cast<std::size_t>(Counter::kCount)> mCounters{};
-  std::array<Stripe, kStripes> mStripes;
+  std::array<Stripe, kStripeCount> mStripes;
   std::mutex mMutex; ///< Guards the members below. Request threads never lock it.
-  std::map<std::pair<ResultCode, ClassId>, std::uint64_t> mRequests;
-  std::map<ClassId, std::unique_ptr<Series>> mLatencies;
-  std::uint64_t mDropped = 0;
+  std::map<std::pair<ResultCode, ClassId>, std::uint64_t> mRequestCounts;
+  std::map<ClassId, std::unique_ptr<LatencySeries>> mLatencies;
+  std::uint64_t mDroppedSamples = 0;
 };
 
 } // namespace rhubarbtrail
--- a/src/core/rcu_pointer.h
+++ b/src/core/rcu_pointer.h
@@ -57,14 +57,14 @@
   auto Read(Reader&& aReader) const
   {
     RcuReaderThread::Ensure();
-    struct Section
+    struct ReadSection
     {
-      explicit Section(const void* aPointer)
+      explicit ReadSection(const void* aPointer)
         : pointer(aPointer)
       {
         urcu_memb_read_lock();
       }
-      ~Section()
+      ~ReadSection()
       {
         AnnotateReaderEnd(pointer);
         urcu_memb_read_unlock();
--- a/src/core/worker_pool.cpp
+++ b/src/core/worker_pool.cpp
@@ -6,11 +6,11 @@
 
 namespace rhubarbtrail {
 
-WorkerPool::WorkerPool(std::size_t aThreads, std::size_t aThreadsPerKey)
-  : mThreadsPerKey(aThreadsPerKey)
+WorkerPool::WorkerPool(std::size_t aThreadCount, std::size_t aMaxThreadsPerKey)
+  : mMaxThreadsPerKey(aMaxThreadsPerKey)
 {
-  mThreads.reserve(aThreads);
-  for (std::size_t index = 0; index < aThreads; ++index) {
+  mThreads.reserve(aThreadCount);
+  for (std::size_t index = 0; index < aThreadCount; ++index) {
     mThreads.emplace_back([this] { Run(); });
   }
 }
@@ -29,7 +29,7 @@
     }
     mJobs.push_back({ std::move(aJob), std::move(aKey) });
   }
-  mChanged.notify_one();
+  mJobsChanged.notify_one();
 }
 
 void WorkerPool::Stop()
@@ -39,7 +39,7 @@
     mIsStopping = true;
     mJobs.clear();
   }
-  mChanged.notify_all();
+  mJobsChanged.notify_all();
   for (std::thread& thread : mThreads) {
     if (thread.joinable()) {
       thread.join();
@@ -50,8 +50,9 @@
 std::deque<WorkerPool::Job>::iterator WorkerPool::FindRunnable()
 {
   return std::find_if(mJobs.begin(), mJobs.end(), [this](const Job& aJob) {
-    const auto running = mRunning.find(aJob.key);
-    return mThreadsPerKey == 0 || running == mRunning.end() || running->second < mThreadsPerKey;
+    const auto running = mRunningByKey.find(aJob.key);
+    return mMaxThreadsPerKey == 0 || running == mRunningByKey.end() ||
+           running->second < mMaxThreadsPerKey;
   });
 }
 
@@ -60,7 +61,7 @@
   std::unique_lock lock(mMutex);
   while (true) {
     auto next = mJobs.end();
-    mChanged.wait(lock, [&] {
+    mJobsChanged.wait(lock, [&] {
       next = FindRunnable();
       return mIsStopping || next != mJobs.end();
     });
@@ -69,18 +70,18 @@
     }
     const Job job = std::move(*next);
     mJobs.erase(next);
-    if (mThreadsPerKey != 0) {
-      ++mRunning[job.key];
+    if (mMaxThreadsPerKey != 0) {
+      ++mRunningByKey[job.key];
     }
     lock.unlock();
     job.run();
     lock.lock();
-    const auto running = mRunning.find(job.key);
-    if (running != mRunning.end() && --running->second == 0) {
-      mRunning.erase(running);
+    const auto running = mRunningByKey.find(job.key);
+    if (running != mRunningByKey.end() && --running->second == 0) {
+      mRunningByKey.erase(running);
     }
     // A queued job with the same key may be able to run now.
-    mChanged.notify_one();
+    mJobsChanged.notify_one();
   }
 }
 
--- a/src/core/worker_pool.h
+++ b/src/core/worker_pool.h
@@ -18,8 +18,8 @@
 class WorkerPool
 {
 public:
-  /* Starts the threads. Jobs of one key use at most aThreadsPerKey of them; 0 for no limit. */
-  explicit WorkerPool(std::size_t aThreads, std::size_t aThreadsPerKey = 0);
+  /* Starts the threads. Jobs of one key use at most aMaxThreadsPerKey of them; 0 for no limit. */
+  explicit WorkerPool(std::size_t aThreadCount, std::size_t aMaxThreadsPerKey = 0);
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
@@ -42,12 +42,12 @@
   /* Returns the first queued job whose key is below its thread limit, or the end. */
   std::deque<Job>::iterator FindRunnable();
 
-  const std::size_t mThreadsPerKey; ///< 0 for no limit.
+  const std::size_t mMaxThreadsPerKey; ///< 0 for no limit.
 
   std::mutex mMutex;
-  std::condition_variable mChanged;
+  std::condition_variable mJobsChanged;
   std::deque<Job> mJobs;
-  std::unordered_map<std::string, std::size_t> mRunning; ///< Running jobs by key.
+  std::unordered_map<std::string, std::size_t> mRunningByKey; ///< Running jobs by key.
   bool mIsStopping = false;
   std::vector<std::thread> mThreads;
 };
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -27,9 +27,9 @@
 using boost::system::error_code;
 
 /* Largest size of the head of an answer, in bytes. */
-constexpr std::uint32_t kHeaderLimit = 64U << 10U;
+constexpr std::uint32_t kMaxHeadBytes = 64U << 10U;
 /* Largest number of answers to other requests that one call discards before it fails. */
-constexpr int kSkipLimit = 3;
+constexpr int kMaxSkippedAnswers = 3;
 /* Subtracted from the keep-alive timeout that an endpoint announces, so that the next request
  * arrives before the endpoint closes the connection. */
 constexpr Duration kKeepAliveMargin = 800ms;
@@ -37,7 +37,7 @@
 using Parser = beast_http::response_parser<beast_http::string_body>;
 
 /* Converts the head that a parser has read. */
-AnswerHead ToHead(const Parser& aParser)
+AnswerHead ToAnswerHead(const Parser& aParser)
 {
   const auto& message = aParser.get();
   const auto text = [](auto aView) { return std::string{ aView.data(), aView.size() }; };
@@ -58,7 +58,7 @@
 
 /* Returns the timeout in the Keep-Alive field of an answer: the time after which the endpoint
  * closes the connection if no request arrives. Returns nothing without such a field. */
-std::optional<Duration> StatedIdleTime(const AnswerHead& aHead)
+std::optional<Duration> KeepAliveTimeout(const AnswerHead& aHead)
 {
   constexpr std::string_view kKey = "timeout=";
   const auto field = Find(aHead.fields, "Keep-Alive");
@@ -101,15 +101,15 @@
   /* Removes an idle connection from the pool and returns it, or null if there is none. */
   std::shared_ptr<ClientConnection> TakeIdle(const std::string& aAddress);
   /* Adds an idle connection and closes the oldest one of the address if there are too many. */
-  void Keep(const std::string& aAddress, std::shared_ptr<ClientConnection> aConnection);
-  void Remove(const std::string& aAddress, const ClientConnection* aConnection);
+  void AddIdle(const std::string& aAddress, std::shared_ptr<ClientConnection> aConnection);
+  void RemoveIdle(const std::string& aAddress, const ClientConnection* aConnection);
 
   asio::io_context& context;
   ClientOptions options;
   ClientCounts counts;
   bool isClosed = false;
   /* Idle connections by address, the most recently used one last. */
-  std::map<std::string, std::deque<std::shared_ptr<ClientConnection>>> idle;
+  std::map<std::string, std::deque<std::shared_ptr<ClientConnection>>> idleConnections;
 };
 
 /* A connection to an endpoint, which carries at most one call at a time. */
@@ -125,34 +125,35 @@
   }
 
   /* Starts a call and returns its number on this connection. */
-  std::uint64_t Begin(const CallOptions& aOptions, CallHandlers aHandlers)
+  std::uint64_t StartCall(const CallOptions& aOptions, CallHandlers aHandlers)
   {
     ++mCallNumber;
     mHandlers = std::move(aHandlers);
-    mOut = Serialize(aOptions.request, mAddress);
-    mIsHead = aOptions.request.method == "HEAD";
-    mSilenceTime = aOptions.silenceTime;
-    mAnswerBy = asio::steady_timer::clock_type::now() + aOptions.answerTime;
-    mHasHead = false;
-    mSkipped = 0;
+    mRequestBytes = Serialize(aOptions.request, mAddress);
+    mIsHeadRequest = aOptions.request.method == "HEAD";
+    mBodyIdleTimeout = aOptions.silenceTime;
+    mAnswerDeadline = asio::steady_timer::clock_type::now() + aOptions.answerTime;
+    mHasAnswerHead = false;
+    mSkippedAnswers = 0;
     mIsPaused = false;
-    NewParser();
+    ResetParser();
     if (mState == State::kIdle) {
       mState = State::kCalling;
-      SetTimer(mAnswerBy);
+      SetTimer(mAnswerDeadline);
       // Posted to the event loop, so that no handler runs before Client::Start() has returned the
       // call.
       asio::post(mClient->context, [self = shared_from_this()] { self->Send(); });
       return mCallNumber;
     }
     mState = State::kConnecting;
-    SetTimer(std::min(mAnswerBy, asio::steady_timer::clock_type::now() + aOptions.connectTime));
+    SetTimer(
+      std::min(mAnswerDeadline, asio::steady_timer::clock_type::now() + aOptions.connectTime));
     Connect();
     return mCallNumber;
   }
 
   /* Returns whether the connection still carries the call with this number. */
-  bool IsUnderWay(std::uint64_t aCallNumber) const
+  bool IsCurrentCall(std::uint64_t aCallNumber) const
   {
     return mCallNumber == aCallNumber && mState != State::kIdle && mState != State::kClosed;
   }
@@ -178,7 +179,7 @@
       return;
     }
     if (mState == State::kIdle) {
-      mClient->Remove(mAddress, this);
+      mClient->RemoveIdle(mAddress, this);
     }
     mState = State::kClosed;
     error_code ignored; // Errors are harmless here: the endpoint may have closed first.
@@ -188,10 +189,10 @@
 
   /* Keeps the connection open without a call for at most aTime. The read notices when the endpoint
    * closes it. */
-  void SetIdle(Duration aTime)
+  void BecomeIdle(Duration aTime)
   {
     mState = State::kIdle;
-    mIn.shrink_to_fit();
+    mReceiveBuffer.shrink_to_fit();
     SetTimer(asio::steady_timer::clock_type::now() + aTime);
     WaitForBytes();
   }
@@ -206,13 +207,13 @@
   };
 
   /* Prepares the parser for the next answer. */
-  void NewParser()
+  void ResetParser()
   {
     mParser.emplace();
     mParser->eager(true);
-    mParser->header_limit(kHeaderLimit);
+    mParser->header_limit(kMaxHeadBytes);
     mParser->body_limit(boost::none);
-    mParser->skip(mIsHead);
+    mParser->skip(mIsHeadRequest);
   }
 
   void Connect()
@@ -224,7 +225,7 @@
     }
     if (!endpoint || error) {
       asio::post(mClient->context,
-                 [self = shared_from_this()] { self->End(CallResult::kNotConnected); });
+                 [self = shared_from_this()] { self->EndCall(CallResult::kNotConnected); });
       return;
     }
     ++mClient->counts.connects;
@@ -234,11 +235,11 @@
         return;
       }
       if (aError) {
-        self->End(CallResult::kNotConnected);
+        self->EndCall(CallResult::kNotConnected);
         return;
       }
       self->mState = State::kCalling;
-      self->SetTimer(self->mAnswerBy);
+      self->SetTimer(self->mAnswerDeadline);
       self->Send();
     });
   }
@@ -250,14 +251,14 @@
     }
     mIsWriting = true;
     asio::async_write(mSocket,
-                      asio::buffer(mOut),
+                      asio::buffer(mRequestBytes),
                       [self = shared_from_this()](error_code aError, std::size_t /*aSize*/) {
                         self->mIsWriting = false;
                         // A write error also ends the reading side, which reports it. An answer
                         // that arrived before the error is still valid.
                         if (!aError) {
-                          self->mOut.clear();
-                          self->mOut.shrink_to_fit();
+                          self->mRequestBytes.clear();
+                          self->mRequestBytes.shrink_to_fit();
                         }
                       });
     WaitForBytes();
@@ -291,11 +292,11 @@
       OnEndOfInput(aError == asio::error::eof);
       return;
     }
-    mIn.append(aBytes);
-    if (mHasHead && mSilenceTime > Duration::zero()) {
-      SetTimer(asio::steady_timer::clock_type::now() + mSilenceTime);
+    mReceiveBuffer.append(aBytes);
+    if (mHasAnswerHead && mBodyIdleTimeout > Duration::zero()) {
+      SetTimer(asio::steady_timer::clock_type::now() + mBodyIdleTimeout);
     }
-    Parse();
+    ParseAnswers();
     WaitForBytes();
   }
 
@@ -303,27 +304,28 @@
    * be the regular end of a body that has neither a length nor chunks. */
   void OnEndOfInput(bool aIsOrderly)
   {
-    if (aIsOrderly && mHasHead && !mIsSkipping && !mParser->is_done() && mParser->need_eof()) {
-      End(CallResult::kComplete);
+    if (aIsOrderly && mHasAnswerHead && !mIsSkippingAnswer && !mParser->is_done() &&
+        mParser->need_eof()) {
+      EndCall(CallResult::kComplete);
       return;
     }
-    End(CallResult::kBroken);
+    EndCall(CallResult::kBroken);
   }
 
-  void Parse()
+  void ParseAnswers()
   {
-    while (mState == State::kCalling && !mIn.empty()) {
+    while (mState == State::kCalling && !mReceiveBuffer.empty()) {
       error_code error;
-      const std::size_t used = mParser->put(asio::buffer(mIn), error);
-      mIn.erase(0, used);
-      if (mParser->is_header_done() && !mHasHead && !OnHead()) {
+      const std::size_t used = mParser->put(asio::buffer(mReceiveBuffer), error);
+      mReceiveBuffer.erase(0, used);
+      if (mParser->is_header_done() && !mHasAnswerHead && !OnHead()) {
         continue;
       }
       if (error && error != beast_http::error::need_more) {
-        End(CallResult::kMalformed);
+        EndCall(CallResult::kMalformed);
         return;
       }
-      PassBody();
+      DeliverBody();
       if (mState != State::kCalling) {
         return;
       }
@@ -343,16 +345,16 @@
   {
     constexpr unsigned kFirstFinalStatus = 200;
     if (mParser->get().result_int() < kFirstFinalStatus) {
-      NewParser(); // An interim answer (1xx). The final answer follows.
+      ResetParser(); // An interim answer (1xx). The final answer follows.
       return false;
     }
-    mHasHead = true;
-    const AnswerHead head = ToHead(*mParser);
-    mStatedIdleTime = StatedIdleTime(head);
-    mIsSkipping = !mHandlers.onHead(head);
-    if (!mIsSkipping && mState == State::kCalling) {
-      if (mSilenceTime > Duration::zero()) {
-        SetTimer(asio::steady_timer::clock_type::now() + mSilenceTime);
+    mHasAnswerHead = true;
+    const AnswerHead head = ToAnswerHead(*mParser);
+    mKeepAliveTimeout = KeepAliveTimeout(head);
+    mIsSkippingAnswer = !mHandlers.onHead(head);
+    if (!mIsSkippingAnswer && mState == State::kCalling) {
+      if (mBodyIdleTimeout > Duration::zero()) {
+        SetTimer(asio::steady_timer::clock_type::now() + mBodyIdleTimeout);
       } else {
         error_code ignored; // Cancelling a timer does not fail.
         mTimer.cancel(ignored);
@@ -361,46 +363,47 @@
     return mState == State::kCalling;
   }
 
-  void PassBody()
+  void DeliverBody()
   {
     std::string body = std::exchange(mParser->get().body(), {});
-    if (!body.empty() && mHasHead && !mIsSkipping) {
+    if (!body.empty() && mHasAnswerHead && !mIsSkippingAnswer) {
       mHandlers.onBody(body);
     }
   }
 
   void OnAnswerDone()
   {
-    if (!mIsSkipping) {
-      End(CallResult::kComplete);
+    if (!mIsSkippingAnswer) {
+      EndCall(CallResult::kComplete);
       return;
     }
     ++mClient->counts.spoiled;
-    if (++mSkipped > kSkipLimit || !mParser->keep_alive()) {
-      End(CallResult::kMalformed);
+    if (++mSkippedAnswers > kMaxSkippedAnswers || !mParser->keep_alive()) {
+      EndCall(CallResult::kMalformed);
       return;
     }
-    mHasHead = false;
-    NewParser();
+    mHasAnswerHead = false;
+    ResetParser();
   }
 
   /* Ends the call. The connection is kept for reuse only if the answer was complete, the endpoint
    * allows keep-alive, the whole request was sent, and no unexpected bytes were received. */
-  void End(CallResult aResult)
+  void EndCall(CallResult aResult)
   {
     const bool isClean = aResult == CallResult::kComplete && mParser->is_done() &&
-                         mParser->keep_alive() && !mIsWriting && mOut.empty() && mIn.empty() &&
-                         mSkipped == 0;
-    if (aResult == CallResult::kComplete && !mIn.empty()) {
+                         mParser->keep_alive() && !mIsWriting && mRequestBytes.empty() &&
+                         mReceiveBuffer.empty() && mSkippedAnswers == 0;
+    if (aResult == CallResult::kComplete && !mReceiveBuffer.empty()) {
       ++mClient->counts.spoiled;
     }
     auto handlers = std::exchange(mHandlers, {});
-    const Duration idleTime = std::min(mClient->options.idleTime,
-                                       mStatedIdleTime.value_or(mClient->options.idleTime) -
-                                         (mStatedIdleTime ? kKeepAliveMargin : Duration::zero()));
-    if (isClean && idleTime > Duration::zero() && !mClient->isClosed) {
-      SetIdle(idleTime);
-      mClient->Keep(mAddress, shared_from_this());
+    const Duration idleTimeout =
+      std::min(mClient->options.idleTimeout,
+               mKeepAliveTimeout.value_or(mClient->options.idleTimeout) -
+                 (mKeepAliveTimeout ? kKeepAliveMargin : Duration::zero()));
+    if (isClean && idleTimeout > Duration::zero() && !mClient->isClosed) {
+      BecomeIdle(idleTimeout);
+      mClient->AddIdle(mAddress, shared_from_this());
     } else {
       Close();
     }
@@ -423,10 +426,10 @@
   {
     switch (mState) {
       case State::kConnecting:
-        End(CallResult::kNotConnected);
+        EndCall(CallResult::kNotConnected);
         break;
       case State::kCalling:
-        End(CallResult::kTimedOut);
+        EndCall(CallResult::kTimedOut);
         break;
       case State::kIdle:
         Close();
@@ -445,53 +448,55 @@
   std::uint64_t mCallNumber = 0; ///< Number of the current or latest call, from 1.
   CallHandlers mHandlers;
   std::optional<Parser> mParser;
-  std::string mIn;  ///< Received and not parsed yet.
-  std::string mOut; ///< The request, until it is written.
-  asio::steady_timer::time_point mAnswerBy;
-  Duration mSilenceTime{};
-  std::optional<Duration> mStatedIdleTime;
-  bool mIsHead = false;
-  bool mHasHead = false;    ///< The head of a final answer was received.
-  bool mIsSkipping = false; ///< The current answer belongs to another request and is discarded.
-  int mSkipped = 0;         ///< Discarded answers of the call.
+  std::string mReceiveBuffer; ///< Received and not parsed yet.
+  std::string mRequestBytes;  ///< The request, until it is written.
+  asio::steady_timer::time_point mAnswerDeadline;
+  Duration mBodyIdleTimeout{};
+  std::optional<Duration> mKeepAliveTimeout;
+  bool mIsHeadRequest = false;
+  bool mHasAnswerHead = false; ///< The head of a final answer was received.
+  bool mIsSkippingAnswer =
+    false;                 ///< The current answer belongs to another request and is discarded.
+  int mSkippedAnswers = 0; ///< Discarded answers of the call.
   bool mIsPaused = false;
   bool mIsWriting = false;
 };
 
 std::shared_ptr<ClientConnection> Client::Impl::TakeIdle(const std::string& aAddress)
 {
-  const auto found = idle.find(aAddress);
-  if (found == idle.end() || found->second.empty()) {
+  const auto found = idleConnections.find(aAddress);
+  if (found == idleConnections.end() || found->second.empty()) {
     return nullptr;
   }
   auto connection =
     std::move(found->second.back()); // The one most recently used is least likely to be closed.
   found->second.pop_back();
   if (found->second.empty()) {
-    idle.erase(found);
+    idleConnections.erase(found);
   }
   return connection;
 }
 
-void Client::Impl::Keep(const std::string& aAddress, std::shared_ptr<ClientConnection> aConnection)
+void Client::Impl::AddIdle(const std::string& aAddress,
+                           std::shared_ptr<ClientConnection> aConnection)
 {
-  auto& list = idle[aAddress];
+  auto& list = idleConnections[aAddress];
   list.push_back(std::move(aConnection));
-  if (list.size() > options.idlePerAddress) {
+  if (list.size() > options.maxIdlePerAddress) {
     const auto oldest = list.front();
     oldest->Close();
   }
 }
 
-void Client::Impl::Remove(const std::string& aAddress, const ClientConnection* aConnection)
+void Client::Impl::RemoveIdle(const std::string& aAddress, const ClientConnection* aConnection)
 {
-  const auto found = idle.find(aAddress);
-  if (found == idle.end()) {
+  const auto found = idleConnections.find(aAddress);
+  if (found == idleConnections.end()) {
     return;
   }
   std::erase_if(found->second, [&](const auto& aItem) { return aItem.get() == aConnection; });
   if (found->second.empty()) {
-    idle.erase(found);
+    idleConnections.erase(found);
   }
 }
 
@@ -515,14 +520,14 @@
   if (!connection) {
     connection = std::make_shared<ClientConnection>(mImpl, aOptions.address);
   }
-  const std::uint64_t number = connection->Begin(aOptions, std::move(aHandlers));
+  const std::uint64_t number = connection->StartCall(aOptions, std::move(aHandlers));
   return std::make_unique<Call>(connection, number);
 }
 
 void Client::Forget(const std::string& aAddress)
 {
-  const auto found = mImpl->idle.find(aAddress);
-  if (found == mImpl->idle.end()) {
+  const auto found = mImpl->idleConnections.find(aAddress);
+  if (found == mImpl->idleConnections.end()) {
     return;
   }
   const auto connections = found->second;
@@ -534,8 +539,8 @@
 void Client::Close()
 {
   mImpl->isClosed = true;
-  const auto idle = mImpl->idle;
-  for (const auto& [address, connections] : idle) {
+  const auto idleConnections = mImpl->idleConnections;
+  for (const auto& [address, connections] : idleConnections) {
     for (const auto& connection : connections) {
       connection->Close();
     }
@@ -558,7 +563,7 @@
 std::shared_ptr<ClientConnection> Call::connection() const
 {
   auto connection = mConnection.lock();
-  return connection && connection->IsUnderWay(mNumber) ? connection : nullptr;
+  return connection && connection->IsCurrentCall(mNumber) ? connection : nullptr;
 }
 
 void Call::Cancel()
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -83,8 +83,9 @@
 
 struct ClientOptions
 {
-  std::size_t idlePerAddress = 16; ///< Idle connections kept for each address.
-  Duration idleTime = 4s; ///< Longest time for which a connection stays idle before it is closed.
+  std::size_t maxIdlePerAddress = 16; ///< Idle connections kept for each address.
+  Duration idleTimeout =
+    4s; ///< Longest time for which a connection stays idle before it is closed.
 };
 
 struct ClientCounts
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -28,33 +28,33 @@
 
 /* Largest number of bytes of following requests that a connection may send while a request is being
  * answered. A connection that sends more is closed. */
-constexpr std::size_t kPipelineLimit = 64U << 10U;
+constexpr std::size_t kMaxPipelinedBytes = 64U << 10U;
 /* Time for which a closing connection waits for the client to close its side. Closing at once while
  * bytes of the client are unread would send a reset, which can destroy an answer that the client
  * has not read. */
-constexpr auto kLingerTime = std::chrono::milliseconds{ 500 };
+constexpr auto kLingerTimeout = std::chrono::milliseconds{ 500 };
 
 using Parser = beast_http::request_parser<beast_http::string_body>;
 
 /* Returns whether the framing of a request is valid, in addition to the checks of the parser. With
  * a transfer coding that the parser does not decode, the body would be read as the next request
  * (request smuggling). */
-bool IsFramingSound(const Parser::value_type& aMessage, bool aIsChunked)
+bool HasValidFraming(const Parser::value_type& aMessage, bool aIsChunked)
 {
   const auto [first, last] = aMessage.equal_range(beast_http::field::transfer_encoding);
   if (first != last) {
-    const bool isOne = std::next(first) == last;
+    const bool isSingleCoding = std::next(first) == last;
     const auto coding = first->value();
-    if (!isOne || !aIsChunked || aMessage.version() < 11 ||
+    if (!isSingleCoding || !aIsChunked || aMessage.version() < 11 ||
         !IsSameName({ coding.data(), coding.size() }, "chunked")) {
       return false;
     }
   }
   const auto length = aMessage[beast_http::field::content_length];
-  const bool isOneNumber = std::all_of(length.begin(), length.end(), [](char aCharacter) {
+  const bool isDecimalNumber = std::all_of(length.begin(), length.end(), [](char aCharacter) {
     return aCharacter >= '0' && aCharacter <= '9'; // The parser accepts lists such as "5, 5".
   });
-  return isOneNumber && aMessage.count(beast_http::field::content_length) <= 1 &&
+  return isDecimalNumber && aMessage.count(beast_http::field::content_length) <= 1 &&
          aMessage.count(beast_http::field::host) == 1;
 }
 
@@ -82,12 +82,12 @@
     , listener(aContext,
                { .address = options.address },
                { .onSocket = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
-                 .onFailure = [this] { CloseIdle(); } })
+                 .onFailure = [this] { CloseOneIdle(); } })
   {
   }
 
   void OnSocket(tcp::socket aSocket);
-  void CloseIdle();
+  void CloseOneIdle();
 
   asio::io_context& context;
   ServerOptions options;
@@ -131,17 +131,17 @@
   bool isIdle() const
   {
     error_code error;
-    return mState == State::kReading && !mParser && mIn.empty() && unsentBytes() == 0 &&
+    return mState == State::kReading && !mParser && mReceiveBuffer.empty() && unsentBytes() == 0 &&
            mSocket.available(error) == 0;
   }
 
   void SendHead(const AnswerHead& aHead)
   {
     mFraming = aHead.framing;
-    const bool keeps =
+    const bool keepsConnection =
       mKeepsConnection && !mServer->isDraining && aHead.framing != Framing::kUntilClose;
-    mKeepsConnection = keeps;
-    Write(Serialize(aHead, keeps));
+    mKeepsConnection = keepsConnection;
+    Write(Serialize(aHead, keepsConnection));
   }
 
   void SendBody(std::string_view aBytes)
@@ -150,7 +150,7 @@
       return;
     }
     if (mFraming == Framing::kChunked) {
-      Write(Chunk(aBytes));
+      Write(EncodeChunk(aBytes));
     } else {
       Write(aBytes);
     }
@@ -168,7 +168,7 @@
     if (!mKeepsConnection) {
       mState = State::kClosing;
       if (!mIsWriting) {
-        CloseSoftly();
+        ShutDownAndLinger();
       }
       return;
     }
@@ -178,7 +178,7 @@
     // starts.
     asio::post(mServer->context, [self = shared_from_this()] {
       self->WaitForBytes();
-      self->Parse();
+      self->ParseRequest();
     });
   }
 
@@ -195,9 +195,9 @@
     }
   }
 
-  bool isEnding() const { return mState == State::kClosing || mState == State::kClosed; }
-  std::size_t unsentBytes() const { return mWriting.size() + mOut.size(); }
-  void OnGone(std::function<void()> aHandler) { mOnGone = std::move(aHandler); }
+  bool isClosing() const { return mState == State::kClosing || mState == State::kClosed; }
+  std::size_t unsentBytes() const { return mSendBuffer.size() + mSendQueue.size(); }
+  void OnGone(std::function<void()> aHandler) { mOnClosed = std::move(aHandler); }
   void OnDrained(std::function<void()> aHandler) { mOnDrained = std::move(aHandler); }
 
   void Close()
@@ -212,11 +212,11 @@
     mSocket.close(ignored);
     if (wasAnswering) {
       --mServer->counts.openRequests;
-      auto gone = std::move(mOnGone);
-      mOnGone = nullptr;
+      auto onClosed = std::move(mOnClosed);
+      mOnClosed = nullptr;
       mOnDrained = nullptr;
-      if (gone) {
-        gone();
+      if (onClosed) {
+        onClosed();
       }
     }
   }
@@ -233,7 +233,7 @@
   void EndAnswer()
   {
     --mServer->counts.openRequests;
-    mOnGone = nullptr;
+    mOnClosed = nullptr;
     mOnDrained = nullptr;
   }
 
@@ -262,9 +262,9 @@
       WaitForBytes(); // Bytes received after the last answer are discarded.
       return;
     }
-    mIn.append(aBytes);
-    Parse();
-    if (mState == State::kAnswering && mIn.size() > kPipelineLimit) {
+    mReceiveBuffer.append(aBytes);
+    ParseRequest();
+    if (mState == State::kAnswering && mReceiveBuffer.size() > kMaxPipelinedBytes) {
       Close();
       return;
     }
@@ -272,9 +272,9 @@
   }
 
   /* Continues to parse the request at the front of the receive buffer. */
-  void Parse()
+  void ParseRequest()
   {
-    if (mState != State::kReading || mIn.empty()) {
+    if (mState != State::kReading || mReceiveBuffer.empty()) {
       return;
     }
     if (!mParser) {
@@ -282,13 +282,13 @@
       mParser->eager(true);
       mParser->header_limit(static_cast<std::uint32_t>(mServer->limits.headerBytes));
       mParser->body_limit(mServer->limits.bodyBytes);
-      mHasHead = false;
+      mHasRequestHead = false;
       SetTimer(mServer->limits.headerTime);
     }
     error_code error;
-    const std::size_t used = mParser->put(asio::buffer(mIn), error);
-    mIn.erase(0, used);
-    if (mParser->is_header_done() && !mHasHead && !OnHead()) {
+    const std::size_t used = mParser->put(asio::buffer(mReceiveBuffer), error);
+    mReceiveBuffer.erase(0, used);
+    if (mParser->is_header_done() && !mHasRequestHead && !OnHead()) {
       return;
     }
     if (error && error != beast_http::error::need_more) {
@@ -303,8 +303,8 @@
     mKeepsConnection = mParser->keep_alive();
     Request request = ToRequest(mParser->get());
     mParser.reset();
-    if (mIn.empty()) {
-      mIn.shrink_to_fit();
+    if (mReceiveBuffer.empty()) {
+      mReceiveBuffer.shrink_to_fit();
     }
     BeginAnswer();
     mServer->handler(std::move(request), std::make_shared<Responder>(shared_from_this()));
@@ -313,9 +313,9 @@
   /* Checks a complete head. Returns false if the request was rejected. */
   bool OnHead()
   {
-    mHasHead = true;
+    mHasRequestHead = true;
     const auto& message = mParser->get();
-    if (!IsFramingSound(message, mParser->chunked())) {
+    if (!HasValidFraming(message, mParser->chunked())) {
       Reject(400);
       return false;
     }
@@ -340,7 +340,7 @@
   {
     ++mServer->counts.rejected;
     mParser.reset();
-    mIn.clear();
+    mReceiveBuffer.clear();
     mKeepsConnection = false;
     BeginAnswer();
     Rejection rejection{ .status = aStatus,
@@ -359,7 +359,7 @@
     if (mState == State::kClosed || mState == State::kClosing) {
       return;
     }
-    mOut.append(aBytes);
+    mSendQueue.append(aBytes);
     if (!mIsWriting) {
       WriteNext();
     }
@@ -368,9 +368,9 @@
   void WriteNext()
   {
     mIsWriting = true;
-    mWriting = std::exchange(mOut, {});
+    mSendBuffer = std::exchange(mSendQueue, {});
     asio::async_write(mSocket,
-                      asio::buffer(mWriting),
+                      asio::buffer(mSendBuffer),
                       [self = shared_from_this()](error_code aError, std::size_t /*aSize*/) {
                         self->OnWritten(aError);
                       });
@@ -379,7 +379,7 @@
   void OnWritten(error_code aError)
   {
     mIsWriting = false;
-    mWriting.clear();
+    mSendBuffer.clear();
     if (mState == State::kClosed) {
       return;
     }
@@ -387,7 +387,7 @@
       Close();
       return;
     }
-    if (!mOut.empty()) {
+    if (!mSendQueue.empty()) {
       WriteNext();
       return;
     }
@@ -395,7 +395,7 @@
       if (mIsAborted) {
         Close();
       } else {
-        CloseSoftly();
+        ShutDownAndLinger();
       }
       return;
     }
@@ -404,13 +404,13 @@
     }
   }
 
-  /* Shuts the sending side down and waits up to kLingerTime for the client to close. */
-  void CloseSoftly()
+  /* Shuts the sending side down and waits up to kLingerTimeout for the client to close. */
+  void ShutDownAndLinger()
   {
     error_code ignored; // Errors are harmless: the client may have closed first.
     mSocket.shutdown(tcp::socket::shutdown_send, ignored);
-    SetTimer(std::chrono::duration_cast<Duration>(kLingerTime));
-    mIn.clear();
+    SetTimer(std::chrono::duration_cast<Duration>(kLingerTimeout));
+    mReceiveBuffer.clear();
     WaitForBytes();
   }
 
@@ -442,15 +442,15 @@
   asio::steady_timer mTimer;
   State mState = State::kReading;
   std::optional<Parser> mParser;
-  bool mHasHead = false;
+  bool mHasRequestHead = false;
   bool mKeepsConnection = true;
   bool mIsWriting = false;
   bool mIsAborted = false;
   Framing mFraming = Framing::kNone;
-  std::string mIn;      ///< Received and not parsed yet.
-  std::string mOut;     ///< To be written after mWriting.
-  std::string mWriting; ///< Being written to the socket.
-  std::function<void()> mOnGone;
+  std::string mReceiveBuffer; ///< Received and not parsed yet.
+  std::string mSendQueue;     ///< To be written after mSendBuffer.
+  std::string mSendBuffer;    ///< Being written to the socket.
+  std::function<void()> mOnClosed;
   std::function<void()> mOnDrained;
 };
 
@@ -458,13 +458,13 @@
 {
   ++counts.accepted;
   if (counts.connections >= options.connectionLimit) {
-    CloseIdle();
+    CloseOneIdle();
   }
   std::make_shared<ServerConnection>(shared_from_this(), std::move(aSocket))->Start();
 }
 
 /* Closes one idle connection, if there is one, to free its descriptor. */
-void Server::Impl::CloseIdle()
+void Server::Impl::CloseOneIdle()
 {
   const auto idle = std::find_if(connections.begin(),
                                  connections.end(),
@@ -513,7 +513,7 @@
 {
   return std::all_of(
     mImpl->connections.begin(), mImpl->connections.end(), [](const ServerConnection* aItem) {
-      return aItem->unsentBytes() == 0 && (aItem->isIdle() || aItem->isEnding());
+      return aItem->unsentBytes() == 0 && (aItem->isIdle() || aItem->isClosing());
     });
 }
 
--- a/src/http/http_type.cpp
+++ b/src/http/http_type.cpp
@@ -28,7 +28,7 @@
 }
 
 /* Returns whether a comma-separated list contains a token, ignoring ASCII case. */
-bool ListHolds(std::string_view aList, std::string_view aWord)
+bool ListContains(std::string_view aList, std::string_view aWord)
 {
   while (!aList.empty()) {
     const auto comma = aList.find(',');
@@ -41,7 +41,7 @@
 }
 
 /* Appends a header field. */
-void Append(std::string& aOut, std::string_view aName, std::string_view aValue)
+void AppendField(std::string& aOut, std::string_view aName, std::string_view aValue)
 {
   aOut.append(aName).append(": ").append(aValue).append("\r\n");
 }
@@ -84,7 +84,7 @@
     return true;
   }
   return std::any_of(aFields.begin(), aFields.end(), [&](const Field& aField) {
-    return IsSameName(aField.name, "Connection") && ListHolds(aField.value, aName);
+    return IsSameName(aField.name, "Connection") && ListContains(aField.value, aName);
   });
 }
 
@@ -92,21 +92,21 @@
 {
   std::string text = fmt::format("HTTP/1.1 {} {}\r\n", aHead.status, aHead.reason);
   for (const Field& field : aHead.fields) {
-    Append(text, field.name, field.value);
+    AppendField(text, field.name, field.value);
   }
   switch (aHead.framing) {
     case Framing::kLength:
-      Append(text, "Content-Length", std::to_string(aHead.length));
+      AppendField(text, "Content-Length", std::to_string(aHead.length));
       break;
     case Framing::kChunked:
-      Append(text, "Transfer-Encoding", "chunked");
+      AppendField(text, "Transfer-Encoding", "chunked");
       break;
     case Framing::kNone:
     case Framing::kUntilClose:
       break;
   }
   if (!aKeepsConnection) {
-    Append(text, "Connection", "close");
+    AppendField(text, "Connection", "close");
   }
   return text.append("\r\n");
 }
@@ -115,20 +115,20 @@
 {
   std::string text = aRequest.method + " " + aRequest.target + " HTTP/1.1\r\n";
   if (!Find(aRequest.fields, "Host")) {
-    Append(text, "Host", aHost);
+    AppendField(text, "Host", aHost);
   }
   for (const Field& field : aRequest.fields) {
-    Append(text, field.name, field.value);
+    AppendField(text, field.name, field.value);
   }
-  const bool hasBodyByNature = aRequest.method != "GET" && aRequest.method != "HEAD" &&
+  const bool hasBodyByMethod = aRequest.method != "GET" && aRequest.method != "HEAD" &&
                                aRequest.method != "DELETE" && aRequest.method != "OPTIONS";
-  if (!aRequest.body.empty() || hasBodyByNature) {
-    Append(text, "Content-Length", std::to_string(aRequest.body.size()));
+  if (!aRequest.body.empty() || hasBodyByMethod) {
+    AppendField(text, "Content-Length", std::to_string(aRequest.body.size()));
   }
   return text.append("\r\n").append(aRequest.body);
 }
 
-std::string Chunk(std::string_view aBytes)
+std::string EncodeChunk(std::string_view aBytes)
 {
   return fmt::format("{:x}\r\n{}\r\n", aBytes.size(), aBytes);
 }
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -66,7 +66,7 @@
 std::string Serialize(const Request& aRequest, std::string_view aHost);
 
 /* Returns one chunk of a chunked body. */
-std::string Chunk(std::string_view aBytes);
+std::string EncodeChunk(std::string_view aBytes);
 
 /* The empty chunk that ends a chunked body. */
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -35,7 +35,7 @@
         if (self->handlers.onFailure) {
           self->handlers.onFailure();
         }
-        self->AcceptLater();
+        self->AcceptAfterDelay();
         return;
       }
       self->handlers.onSocket(std::move(aSocket));
@@ -43,7 +43,7 @@
     });
   }
 
-  void AcceptLater()
+  void AcceptAfterDelay()
   {
     timer.expires_after(options.pause);
     timer.async_wait([self = shared_from_this()](error_code aError) {
--- a/src/http/socket_options.cpp
+++ b/src/http/socket_options.cpp
@@ -16,10 +16,10 @@
   const int on = 1;
   setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeIdleS, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalS, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kProbeCount, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedLimitMs, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kKeepAliveIdleS, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kKeepAliveIntervalS, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kKeepAliveProbeCount, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(int));
 }
 
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& aAddress)
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -13,12 +13,12 @@
 /* The kernel closes a connection when sent bytes stay unacknowledged, or keep-alive probes
  * unanswered, for this time (TCP_USER_TIMEOUT). It is shorter than the 3 s for which a daemon may
  * be out of contact. */
-constexpr int kUnacknowledgedLimitMs = 2'000;
+constexpr int kUserTimeoutMs = 2'000;
 /* TCP keep-alive: idle time before the first probe and interval between probes, in seconds, and
  * number of probes. */
-constexpr int kProbeIdleS = 1;
-constexpr int kProbeIntervalS = 1;
-constexpr int kProbeCount = 2;
+constexpr int kKeepAliveIdleS = 1;
+constexpr int kKeepAliveIntervalS = 1;
+constexpr int kKeepAliveProbeCount = 2;
 
 /* Sets the options of an open socket, connected or not: no delay, keep-alive and user timeout. The
  * keep-alive probes find connections that a firewall or another device on the path has dropped
--- a/src/http/socket_reader.cpp
+++ b/src/http/socket_reader.cpp
@@ -11,13 +11,13 @@
 using boost::system::error_code;
 
 /* Largest number of bytes that one read returns. */
-constexpr std::size_t kReadSize = 16U << 10U;
+constexpr std::size_t kReadBufferSize = 16U << 10U;
 
 /* Reads the available bytes without blocking. The result refers to a buffer that belongs to the
  * thread and is overwritten by the next call, so connections copy the bytes that they keep. */
 std::string_view ReadAvailable(boost::asio::ip::tcp::socket& aSocket, error_code& aError)
 {
-  thread_local std::array<char, kReadSize> sBuffer;
+  thread_local std::array<char, kReadBufferSize> sBuffer;
   if (!aSocket.non_blocking()) {
     aSocket.non_blocking(true, aError);
     if (aError) {
