--- a/src/core/rcu_pointer.h
+++ b/src/core/rcu_pointer.h
@@ -38,7 +38,7 @@
   ~RcuReaderThread() { urcu_memb_unregister_thread(); }
 };
 
-/* Owns a value of which threads read a consistent state while a writer publishes the next one. */
+/* Owns a value. Many threads read it without locks while one thread replaces it. */
 template<typename Value>
 class RcuPointer
 {
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -300,8 +300,8 @@
     WaitForBytes();
   }
 
-  /* Handles the end of the received data. If the endpoint closed the connection in order, this may
-   * be the regular end of a body that has neither a length nor chunks. */
+  /* Handles the end of the received data. After an orderly close (end of file, not an error), a
+   * body with neither a length nor chunks is complete. */
   void OnEndOfInput(bool aIsOrderly)
   {
     if (aIsOrderly && mHasAnswerHead && !mIsSkippingAnswer && !mParser->is_done() &&
@@ -454,10 +454,9 @@
   Duration mBodyIdleTimeout{};
   std::optional<Duration> mKeepAliveTimeout;
   bool mIsHeadRequest = false;
-  bool mHasAnswerHead = false; ///< The head of a final answer was received.
-  bool mIsSkippingAnswer =
-    false;                 ///< The current answer belongs to another request and is discarded.
-  int mSkippedAnswers = 0; ///< Discarded answers of the call.
+  bool mHasAnswerHead = false;    ///< The head of a final answer was received.
+  bool mIsSkippingAnswer = false; ///< The current answer belongs to another request.
+  int mSkippedAnswers = 0;        ///< Discarded answers of the call.
   bool mIsPaused = false;
   bool mIsWriting = false;
 };
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -84,14 +84,13 @@
 struct ClientOptions
 {
   std::size_t maxIdlePerAddress = 16; ///< Idle connections kept for each address.
-  Duration idleTimeout =
-    4s; ///< Longest time for which a connection stays idle before it is closed.
+  Duration idleTimeout = 4s;          ///< Time after which an idle connection is closed.
 };
 
 struct ClientCounts
 {
   std::uint64_t calls = 0;
-  std::uint64_t connects = 0;
+  std::uint64_t connects = 0; ///< Attempts to open a connection.
   /* Times that a connection received data that belongs to no open request on it. */
   std::uint64_t spoiled = 0;
 };
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -110,12 +110,12 @@
   void Drain();
   /* Closes the connections on which no request has started to arrive. */
   void CloseIdle();
-  /* Returns whether no connection has a request or unwritten bytes. */
+  /* Returns whether no connection has a request or unsent bytes. */
   bool IsQuiet() const;
   /* Stops listening and closes all connections. */
   void Close();
   ServerCounts counts() const;
-  /* Returns the bound port, or 0 before Listen(). */
+  /* Returns the bound port, or 0 if the server does not listen. */
   std::uint16_t port() const;
 
 private:
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -105,7 +105,7 @@
 
 std::uint16_t Listener::port() const
 {
-  error_code ignored; // On an error, as before Listen(), the port is 0.
+  error_code ignored; // On an error, as when the socket is not open, the port is 0.
   return mImpl->acceptor.local_endpoint(ignored).port();
 }
 
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -42,7 +42,7 @@
    * string on success. */
   std::string Listen();
   void Close();
-  /* Returns the bound port, or 0 before Listen(). */
+  /* Returns the bound port, or 0 if the socket is not open. */
   std::uint16_t port() const;
 
 private:
