--- a/src/core/connect_probe.cpp
+++ b/src/core/connect_probe.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /* Returns the error number of a connect, or 0 if it succeeded. */
-int ConnectError(int aSocket, const sockaddr_in& aTarget, Duration aTimeout)
+int ConnectWithTimeout(int aSocket, const sockaddr_in& aTarget, Duration aTimeout)
 {
   if (connect(aSocket, reinterpret_cast<const sockaddr*>(&aTarget), sizeof(aTarget)) == 0) {
     return 0;
@@ -49,7 +49,7 @@
   if (socket < 0) {
     return false;
   }
-  const int error = ConnectError(socket, target, aTimeout);
+  const int error = ConnectWithTimeout(socket, target, aTimeout);
   close(socket);
   return error == ECONNREFUSED;
 }
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -19,7 +19,7 @@
 
 /* Returns the wall-clock time in UTC for readers of the log. Nothing else uses it, because the wall
  * clock can jump. */
-std::string TimeOfDay()
+std::string WallClockTime()
 {
   using namespace std::chrono;
   const auto millis = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
@@ -66,28 +66,31 @@
 void EventLog::Write(std::string_view aEvent, std::initializer_list<LogField> aFields)
 {
   const TimePoint now = BootTime();
-  auto found = mBudgets.find(aEvent);
-  if (found == mBudgets.end()) {
-    found = mBudgets.emplace(std::string{ aEvent }, Budget{ mOptions.burst, now, 0 }).first;
+  auto found = mTokenBuckets.find(aEvent);
+  if (found == mTokenBuckets.end()) {
+    found =
+      mTokenBuckets.emplace(std::string{ aEvent }, TokenBucket{ mOptions.burst, now, 0 }).first;
   }
-  Budget& budget = found->second;
-  const double seconds = std::chrono::duration<double>(now - budget.refilledAt).count();
-  budget.tokens = std::min(mOptions.burst, budget.tokens + seconds * mOptions.linesPerSecond);
-  budget.refilledAt = now;
-  if (budget.tokens < 1.0 || mBuffer.size() >= mOptions.bufferBytes) {
-    ++budget.leftOut;
+  TokenBucket& bucket = found->second;
+  const double seconds = std::chrono::duration<double>(now - bucket.refilledAt).count();
+  bucket.tokens = std::min(mOptions.burst, bucket.tokens + seconds * mOptions.linesPerSecond);
+  bucket.refilledAt = now;
+  if (bucket.tokens < 1.0 || mBuffer.size() >= mOptions.bufferBytes) {
+    ++bucket.leftOut;
     ++mLeftOut;
     return;
   }
-  budget.tokens -= 1.0;
-  mBuffer += fmt::format(
-    "{{\"time\":\"{}\",\"daemon\":\"{}\",\"event\":\"{}\"", TimeOfDay(), mOptions.daemon, aEvent);
+  bucket.tokens -= 1.0;
+  mBuffer += fmt::format("{{\"time\":\"{}\",\"daemon\":\"{}\",\"event\":\"{}\"",
+                         WallClockTime(),
+                         mOptions.daemon,
+                         aEvent);
   for (const LogField& field : aFields) {
     AppendField(mBuffer, field);
   }
-  if (budget.leftOut > 0) {
-    AppendField(mBuffer, { "left_out", budget.leftOut });
-    budget.leftOut = 0;
+  if (bucket.leftOut > 0) {
+    AppendField(mBuffer, { "left_out", bucket.leftOut });
+    bucket.leftOut = 0;
   }
   mBuffer += "}\n";
 }
--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -91,7 +91,7 @@
 
 private:
   /* Token bucket of one event: each line takes a token. */
-  struct Budget
+  struct TokenBucket
   {
     double tokens = 0.0;
     TimePoint refilledAt{};    ///< When the tokens were last refilled.
@@ -99,7 +99,7 @@
   };
 
   EventLogOptions mOptions;
-  std::map<std::string, Budget, std::less<>> mBudgets;
+  std::map<std::string, TokenBucket, std::less<>> mTokenBuckets;
   std::string mBuffer;
   std::uint64_t mLeftOut = 0;
 };
--- a/src/core/worker_pool.cpp
+++ b/src/core/worker_pool.cpp
@@ -11,7 +11,7 @@
 {
   mThreads.reserve(aThreadCount);
   for (std::size_t index = 0; index < aThreadCount; ++index) {
-    mThreads.emplace_back([this] { Run(); });
+    mThreads.emplace_back([this] { RunJobs(); });
   }
 }
 
@@ -56,7 +56,7 @@
   });
 }
 
-void WorkerPool::Run()
+void WorkerPool::RunJobs()
 {
   std::unique_lock lock(mMutex);
   while (true) {
--- a/src/core/worker_pool.h
+++ b/src/core/worker_pool.h
@@ -38,7 +38,7 @@
     std::string key;
   };
 
-  void Run();
+  void RunJobs();
   /* Returns the first queued job whose key is below its thread limit, or the end. */
   std::deque<Job>::iterator FindRunnable();
 
