--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/* Returns the wall-clock time in UTC for readers of the log. Nothing else uses it, because the wall
- * clock can jump. */
+/* Returns the wall-clock time in UTC, for readers of the log only. Decisions never use it, because
+ * the wall clock can jump. */
 std::string WallClockTime()
 {
   using namespace std::chrono;
