--- a/src/core/http_server.cpp
+++ b/src/core/httplib_server.cpp
@@ -1,5 +1,5 @@
-/* Starting and stopping a server. */
-#include "core/http_server.h"
+/* Starts and stops a cpp-httplib server. */
+#include "core/httplib_server.h"
 
 #include <httplib.h>
 
@@ -9,18 +9,19 @@
 
 namespace {
 
-/* Connections that may wait to be accepted. The HTTP library asks for 5, and the kernel then drops
- * a burst's connections, whose callers try again after a second. */
+/* Length of the queue of connections that wait to be accepted. cpp-httplib sets it to 5. With so
+ * short a queue the kernel drops connection attempts of a burst, and clients retry only after a
+ * second. */
 constexpr int kBacklog = 1'024;
 
 } // namespace
 
 std::uint16_t HttpServerThread::Start(const std::string& aAddress, std::uint16_t aPort)
 {
-  int listener = -1;
-  // The library would share the port with other processes.
-  mServer.set_socket_options([&listener](int aSocket) {
-    listener = aSocket;
+  int listeningSocket = -1;
+  // Replaces the default of cpp-httplib, which would let other processes share the port.
+  mServer.set_socket_options([&listeningSocket](int aSocket) {
+    listeningSocket = aSocket;
     const int on = 1;
     setsockopt(aSocket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   });
@@ -33,9 +34,10 @@
   if (port <= 0) {
     return 0;
   }
-  listen(listener, kBacklog);
+  listen(listeningSocket, kBacklog);
   mThread = std::thread([this] { mServer.listen_after_bind(); });
-  // A server that is stopped before it listens would listen forever.
+  // Waits until the server runs: a stop() before that would have no effect, and the thread would
+  // never end.
   while (!mServer.is_running()) {
     std::this_thread::yield();
   }
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -26,32 +26,35 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/* Bytes of following requests that are stored while one is being answered. */
-constexpr std::size_t kPipelineLimit = 64U << 10U;
-/* Time for which a closing connection waits for the client's own close, so that the answer is not
- * lost to a reset. */
-constexpr auto kLingerTime = std::chrono::milliseconds{ 500 };
+/* Largest number of bytes of following requests that a connection may send while a request is being
+ * answered. A connection that sends more is closed. */
+constexpr std::size_t kMaxPipelinedBytes = 64U << 10U;
+/* Time for which a closing connection waits for the client to close its side. Closing at once while
+ * bytes of the client are unread would send a reset, which can destroy an answer that the client
+ * has not read. */
+constexpr auto kLingerTimeout = std::chrono::milliseconds{ 500 };
 
 using Parser = beast_http::request_parser<beast_http::string_body>;
 
-/* Returns what is wrong with a request's framing beyond what the parser checks: a coding that is
- * not understood would leave the body to be read as the next request. */
-bool IsFramingSound(const Parser::value_type& aMessage, bool aIsChunked)
+/* Returns whether the framing of a request is valid, in addition to the checks of the parser. With
+ * a transfer coding that the parser does not decode, the body would be read as the next request
+ * (request smuggling). */
+bool HasValidFraming(const Parser::value_type& aMessage, bool aIsChunked)
 {
   const auto [first, last] = aMessage.equal_range(beast_http::field::transfer_encoding);
   if (first != last) {
-    const bool isOne = std::next(first) == last;
+    const bool isSingleCoding = std::next(first) == last;
     const auto coding = first->value();
-    if (!isOne || !aIsChunked || aMessage.version() < 11 ||
+    if (!isSingleCoding || !aIsChunked || aMessage.version() < 11 ||
         !IsSameName({ coding.data(), coding.size() }, "chunked")) {
       return false;
     }
   }
   const auto length = aMessage[beast_http::field::content_length];
-  const bool isOneNumber = std::all_of(length.begin(), length.end(), [](char aCharacter) {
-    return aCharacter >= '0' && aCharacter <= '9'; // The parser takes lists of equal numbers.
+  const bool isDecimalNumber = std::all_of(length.begin(), length.end(), [](char aCharacter) {
+    return aCharacter >= '0' && aCharacter <= '9'; // The parser accepts lists such as "5, 5".
   });
-  return isOneNumber && aMessage.count(beast_http::field::content_length) <= 1 &&
+  return isDecimalNumber && aMessage.count(beast_http::field::content_length) <= 1 &&
          aMessage.count(beast_http::field::host) == 1;
 }
 
@@ -79,12 +82,12 @@
     , listener(aContext,
                { .address = options.address },
                { .onSocket = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
-                 .onFailure = [this] { CloseIdle(); } })
+                 .onFailure = [this] { CloseOneIdle(); } })
   {
   }
 
   void OnSocket(tcp::socket aSocket);
-  void CloseIdle();
+  void CloseOneIdle();
 
   asio::io_context& context;
   ServerOptions options;
@@ -96,8 +99,8 @@
   std::unordered_set<ServerConnection*> connections;
 };
 
-/* One client connection. Reads go on while a request is being answered, so that the client's close
- * is seen at once. */
+/* A connection of a client. It reads also while a request is being answered, so that it notices at
+ * once when the client closes. */
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -118,26 +121,27 @@
 
   void Start()
   {
-    SetSocketOptions(mSocket); // One that cannot be set up fails at its first read.
+    SetSocketOptions(mSocket); // If the socket is broken already, the first read fails.
     SetTimer(mServer->limits.idleTime);
     WaitForBytes();
   }
 
-  /* Returns whether no request has begun on the connection, read or unread. */
+  /* Returns whether no request is in progress and no byte of one has arrived, also not in the
+   * buffer of the kernel. */
   bool isIdle() const
   {
     error_code error;
-    return mState == State::kReading && !mParser && mIn.empty() && unsentBytes() == 0 &&
+    return mState == State::kReading && !mParser && mReceiveBuffer.empty() && unsentBytes() == 0 &&
            mSocket.available(error) == 0;
   }
 
   void SendHead(const AnswerHead& aHead)
   {
     mFraming = aHead.framing;
-    const bool keeps =
+    const bool keepsConnection =
       mKeepsConnection && !mServer->isDraining && aHead.framing != Framing::kUntilClose;
-    mKeepsConnection = keeps;
-    Write(Serialize(aHead, keeps));
+    mKeepsConnection = keepsConnection;
+    Write(Serialize(aHead, keepsConnection));
   }
 
   void SendBody(std::string_view aBytes)
@@ -146,7 +150,7 @@
       return;
     }
     if (mFraming == Framing::kChunked) {
-      Write(Chunk(aBytes));
+      Write(EncodeChunk(aBytes));
     } else {
       Write(aBytes);
     }
@@ -164,16 +168,17 @@
     if (!mKeepsConnection) {
       mState = State::kClosing;
       if (!mIsWriting) {
-        CloseSoftly();
+        ShutDownAndLinger();
       }
       return;
     }
     mState = State::kReading;
     SetTimer(mServer->limits.idleTime);
-    // Another turn of the loop, so that the caller's stack is left before the next request.
+    // Posted to the event loop, so that the caller of Finish() returns before the next request
+    // starts.
     asio::post(mServer->context, [self = shared_from_this()] {
       self->WaitForBytes();
-      self->Parse();
+      self->ParseRequest();
     });
   }
 
@@ -190,9 +195,9 @@
     }
   }
 
-  bool isEnding() const { return mState == State::kClosing || mState == State::kClosed; }
-  std::size_t unsentBytes() const { return mWriting.size() + mOut.size(); }
-  void OnGone(std::function<void()> aHandler) { mOnGone = std::move(aHandler); }
+  bool isClosing() const { return mState == State::kClosing || mState == State::kClosed; }
+  std::size_t unsentBytes() const { return mSendBuffer.size() + mSendQueue.size(); }
+  void OnGone(std::function<void()> aHandler) { mOnClosed = std::move(aHandler); }
   void OnDrained(std::function<void()> aHandler) { mOnDrained = std::move(aHandler); }
 
   void Close()
@@ -202,16 +207,16 @@
     }
     const bool wasAnswering = mState == State::kAnswering;
     mState = State::kClosed;
-    error_code ignored; // Closing twice or after a reset is no fault.
+    error_code ignored; // Errors are harmless: the socket may be closed or reset already.
     mTimer.cancel(ignored);
     mSocket.close(ignored);
     if (wasAnswering) {
       --mServer->counts.openRequests;
-      auto gone = std::move(mOnGone);
-      mOnGone = nullptr;
+      auto onClosed = std::move(mOnClosed);
+      mOnClosed = nullptr;
       mOnDrained = nullptr;
-      if (gone) {
-        gone();
+      if (onClosed) {
+        onClosed();
       }
     }
   }
@@ -221,14 +226,14 @@
   {
     kReading,
     kAnswering,
-    kClosing, ///< The last bytes are on their way.
+    kClosing, ///< The last answer is being written, or the client has yet to close.
     kClosed,
   };
 
   void EndAnswer()
   {
     --mServer->counts.openRequests;
-    mOnGone = nullptr;
+    mOnClosed = nullptr;
     mOnDrained = nullptr;
   }
 
@@ -254,22 +259,22 @@
       return;
     }
     if (mState == State::kClosing) {
-      WaitForBytes(); // Bytes after the last answer are dropped.
+      WaitForBytes(); // Bytes received after the last answer are discarded.
       return;
     }
-    mIn.append(aBytes);
-    Parse();
-    if (mState == State::kAnswering && mIn.size() > kPipelineLimit) {
+    mReceiveBuffer.append(aBytes);
+    ParseRequest();
+    if (mState == State::kAnswering && mReceiveBuffer.size() > kMaxPipelinedBytes) {
       Close();
       return;
     }
     WaitForBytes();
   }
 
-  /* Goes on with the request at the front of the stored bytes. */
-  void Parse()
+  /* Continues to parse the request at the front of the receive buffer. */
+  void ParseRequest()
   {
-    if (mState != State::kReading || mIn.empty()) {
+    if (mState != State::kReading || mReceiveBuffer.empty()) {
       return;
     }
     if (!mParser) {
@@ -277,13 +282,13 @@
       mParser->eager(true);
       mParser->header_limit(static_cast<std::uint32_t>(mServer->limits.headerBytes));
       mParser->body_limit(mServer->limits.bodyBytes);
-      mHasHead = false;
+      mHasRequestHead = false;
       SetTimer(mServer->limits.headerTime);
     }
     error_code error;
-    const std::size_t used = mParser->put(asio::buffer(mIn), error);
-    mIn.erase(0, used);
-    if (mParser->is_header_done() && !mHasHead && !OnHead()) {
+    const std::size_t used = mParser->put(asio::buffer(mReceiveBuffer), error);
+    mReceiveBuffer.erase(0, used);
+    if (mParser->is_header_done() && !mHasRequestHead && !OnHead()) {
       return;
     }
     if (error && error != beast_http::error::need_more) {
@@ -298,19 +303,19 @@
     mKeepsConnection = mParser->keep_alive();
     Request request = ToRequest(mParser->get());
     mParser.reset();
-    if (mIn.empty()) {
-      mIn.shrink_to_fit();
+    if (mReceiveBuffer.empty()) {
+      mReceiveBuffer.shrink_to_fit();
     }
     BeginAnswer();
     mServer->handler(std::move(request), std::make_shared<Responder>(shared_from_this()));
   }
 
-  /* Checks a head that has just come in; false when the request was rejected. */
+  /* Checks a complete head. Returns false if the request was rejected. */
   bool OnHead()
   {
-    mHasHead = true;
+    mHasRequestHead = true;
     const auto& message = mParser->get();
-    if (!IsFramingSound(message, mParser->chunked())) {
+    if (!HasValidFraming(message, mParser->chunked())) {
       Reject(400);
       return false;
     }
@@ -326,16 +331,16 @@
   {
     mState = State::kAnswering;
     ++mServer->counts.openRequests;
-    error_code ignored; // Cancelling a timer does not fail.
+    error_code ignored; // Cancelling a steady timer does not fail.
     mTimer.cancel(ignored);
   }
 
-  /* Answers a request that cannot be read, and closes. */
+  /* Answers a request that is malformed, too large or too slow, and closes the connection. */
   void Reject(unsigned aStatus)
   {
     ++mServer->counts.rejected;
     mParser.reset();
-    mIn.clear();
+    mReceiveBuffer.clear();
     mKeepsConnection = false;
     BeginAnswer();
     Rejection rejection{ .status = aStatus,
@@ -354,7 +359,7 @@
     if (mState == State::kClosed || mState == State::kClosing) {
       return;
     }
-    mOut.append(aBytes);
+    mSendQueue.append(aBytes);
     if (!mIsWriting) {
       WriteNext();
     }
@@ -363,9 +368,9 @@
   void WriteNext()
   {
     mIsWriting = true;
-    mWriting = std::exchange(mOut, {});
+    mSendBuffer = std::exchange(mSendQueue, {});
     asio::async_write(mSocket,
-                      asio::buffer(mWriting),
+                      asio::buffer(mSendBuffer),
                       [self = shared_from_this()](error_code aError, std::size_t /*aSize*/) {
                         self->OnWritten(aError);
                       });
@@ -374,7 +379,7 @@
   void OnWritten(error_code aError)
   {
     mIsWriting = false;
-    mWriting.clear();
+    mSendBuffer.clear();
     if (mState == State::kClosed) {
       return;
     }
@@ -382,7 +387,7 @@
       Close();
       return;
     }
-    if (!mOut.empty()) {
+    if (!mSendQueue.empty()) {
       WriteNext();
       return;
     }
@@ -390,7 +395,7 @@
       if (mIsAborted) {
         Close();
       } else {
-        CloseSoftly();
+        ShutDownAndLinger();
       }
       return;
     }
@@ -399,13 +404,13 @@
     }
   }
 
-  /* Ends the sending side and waits a little for the client to close. */
-  void CloseSoftly()
+  /* Shuts the sending side down and waits up to kLingerTimeout for the client to close. */
+  void ShutDownAndLinger()
   {
-    error_code ignored; // The client may have closed first.
+    error_code ignored; // Errors are harmless: the client may have closed first.
     mSocket.shutdown(tcp::socket::shutdown_send, ignored);
-    SetTimer(std::chrono::duration_cast<Duration>(kLingerTime));
-    mIn.clear();
+    SetTimer(std::chrono::duration_cast<Duration>(kLingerTimeout));
+    mReceiveBuffer.clear();
     WaitForBytes();
   }
 
@@ -422,7 +427,7 @@
   void OnTimeout()
   {
     if (mTimer.expiry() > asio::steady_timer::clock_type::now()) {
-      return; // The timer was set anew while this call waited its turn.
+      return; // The timer was set again after this handler had been queued.
     }
     if (mState == State::kReading && mParser) {
       Reject(408);
@@ -437,15 +442,15 @@
   asio::steady_timer mTimer;
   State mState = State::kReading;
   std::optional<Parser> mParser;
-  bool mHasHead = false;
+  bool mHasRequestHead = false;
   bool mKeepsConnection = true;
   bool mIsWriting = false;
   bool mIsAborted = false;
   Framing mFraming = Framing::kNone;
-  std::string mIn;      ///< Read and not parsed yet.
-  std::string mOut;     ///< To be written after mWriting.
-  std::string mWriting; ///< Being written.
-  std::function<void()> mOnGone;
+  std::string mReceiveBuffer; ///< Received and not parsed yet.
+  std::string mSendQueue;     ///< To be written after mSendBuffer.
+  std::string mSendBuffer;    ///< Being written to the socket.
+  std::function<void()> mOnClosed;
   std::function<void()> mOnDrained;
 };
 
@@ -453,13 +458,13 @@
 {
   ++counts.accepted;
   if (counts.connections >= options.connectionLimit) {
-    CloseIdle();
+    CloseOneIdle();
   }
   std::make_shared<ServerConnection>(shared_from_this(), std::move(aSocket))->Start();
 }
 
-/* Closes one connection without a request, to make room. */
-void Server::Impl::CloseIdle()
+/* Closes one idle connection, if there is one, to free its descriptor. */
+void Server::Impl::CloseOneIdle()
 {
   const auto idle = std::find_if(connections.begin(),
                                  connections.end(),
@@ -508,7 +513,7 @@
 {
   return std::all_of(
     mImpl->connections.begin(), mImpl->connections.end(), [](const ServerConnection* aItem) {
-      return aItem->unsentBytes() == 0 && (aItem->isIdle() || aItem->isEnding());
+      return aItem->unsentBytes() == 0 && (aItem->isIdle() || aItem->isClosing());
     });
 }
 
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -35,7 +35,7 @@
         if (self->handlers.onFailure) {
           self->handlers.onFailure();
         }
-        self->AcceptLater();
+        self->AcceptAfterDelay();
         return;
       }
       self->handlers.onSocket(std::move(aSocket));
@@ -43,7 +43,7 @@
     });
   }
 
-  void AcceptLater()
+  void AcceptAfterDelay()
   {
     timer.expires_after(options.pause);
     timer.async_wait([self = shared_from_this()](error_code aError) {
@@ -98,14 +98,14 @@
 void Listener::Close()
 {
   mImpl->isClosed = true;
-  error_code ignored; // Closing twice is no fault.
+  error_code ignored; // Errors are harmless: the socket may be closed already.
   mImpl->acceptor.close(ignored);
   mImpl->timer.cancel(ignored);
 }
 
 std::uint16_t Listener::port() const
 {
-  error_code ignored; // 0 before Listen().
+  error_code ignored; // On an error, as when the socket is not open, the port is 0.
   return mImpl->acceptor.local_endpoint(ignored).port();
 }
 
--- a/src/http/socket_options.cpp
+++ b/src/http/socket_options.cpp
@@ -1,4 +1,4 @@
-/* Options that every connection gets, and addresses as text. */
+/* Socket options of every connection, and parsing of addresses. */
 #include "http/socket_options.h"
 
 #include "core/number_func.h"
@@ -11,15 +11,15 @@
 
 void SetSocketOptions(boost::asio::ip::tcp::socket& aSocket)
 {
-  // Failures are left alone: a connection without an option still works.
+  // Errors are ignored: a connection without one of the options still works.
   const int handle = aSocket.native_handle();
   const int on = 1;
   setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeIdleS, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalS, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kProbeCount, sizeof(int));
-  setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedLimitMs, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kKeepAliveIdleS, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kKeepAliveIntervalS, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kKeepAliveProbeCount, sizeof(int));
+  setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(int));
 }
 
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& aAddress)
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -1,7 +1,7 @@
 /* Authorization of every call of the administration API: without a key, with a wrong key, and with
  * each role. */
 #include "core/digest_func.h"
-#include "core/http_client_func.h"
+#include "core/httplib_client_func.h"
 #include "operator/admin_server.h"
 
 #include <doctest/doctest.h>
