--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -68,7 +68,7 @@
 
 void CallerExchange::Start()
 {
-  mResponder->OnGone([self = shared_from_this()] { self->OnGone(); });
+  mResponder->OnClosed([self = shared_from_this()] { self->OnClosed(); });
   mResponder->OnDrained([self = shared_from_this()] { self->ForwardAvailableParts(); });
   mSession->SetListener([self = shared_from_this()] { self->ScheduleForwarding(); });
   ForwardAvailableParts();
@@ -173,7 +173,7 @@
 void CallerExchange::End(ResultCode aCode)
 {
   mIsEnded = true;
-  mResponder->OnGone(nullptr);
+  mResponder->OnClosed(nullptr);
   mResponder->OnDrained(nullptr);
   mSession->SetListener(nullptr);
   mContext.sessions.Remove(mSession->id());
@@ -182,7 +182,7 @@
 
 /* Cancels the request, since the caller has disconnected. A non-streaming request that may run at
  * most once continues, so that its outcome is recorded. */
-void CallerExchange::OnGone()
+void CallerExchange::OnClosed()
 {
   mIsCallerDisconnected = true;
   const bool mustContinue = mSession->call().form == AnswerForm::kBuffered &&
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -68,7 +68,7 @@
                           const std::string& aType,
                           const std::string& aBody);
   void End(ResultCode aCode);
-  void OnGone();
+  void OnClosed();
 
   ExchangeContext& mContext;
   RequestRecord mRecord;
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -154,7 +154,7 @@
 /* Closes all connections and stops the event loop once all answers are sent, or at aDeadline. */
 void CallerServer::Impl::CloseWhenDrained(std::chrono::steady_clock::time_point aDeadline)
 {
-  if (server.IsQuiet() || std::chrono::steady_clock::now() >= aDeadline) {
+  if (server.IsDrained() || std::chrono::steady_clock::now() >= aDeadline) {
     server.Close();
     workGuard.reset();
     loop.stop();
--- a/src/codec/json_codec.cpp
+++ b/src/codec/json_codec.cpp
@@ -32,7 +32,7 @@
     aJson.get_to(aValue.value);                                                                    \
   }
 
-RHUBARBTRAIL_WRAPPED_VALUE(Fence)
+RHUBARBTRAIL_WRAPPED_VALUE(FencingToken)
 RHUBARBTRAIL_WRAPPED_VALUE(ConfigVersion)
 RHUBARBTRAIL_WRAPPED_VALUE(MemoryMb)
 #undef RHUBARBTRAIL_WRAPPED_VALUE
--- a/src/core/boot_clock.h
+++ b/src/core/boot_clock.h
@@ -11,7 +11,7 @@
 /* Returns the time since the host booted, including the time during which it was suspended
  * (CLOCK_BOOTTIME). The steady clock stops during a suspension, so that a lease that expired
  * meanwhile would still look valid afterwards. */
-inline TimePoint BootTime()
+inline TimePoint BootClockNow()
 {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -20,7 +20,7 @@
 }
 
 /* Returns a duration in whole milliseconds, rounded towards zero, as logs and metrics show it. */
-inline std::int64_t Milliseconds(Duration aDuration)
+inline std::int64_t ToMilliseconds(Duration aDuration)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count();
 }
--- a/src/core/event_log.cpp
+++ b/src/core/event_log.cpp
@@ -65,7 +65,7 @@
 
 void EventLog::Write(std::string_view aEvent, std::initializer_list<LogField> aFields)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   auto found = mTokenBuckets.find(aEvent);
   if (found == mTokenBuckets.end()) {
     found =
--- a/src/core/httplib_client.cpp
+++ b/src/core/httplib_client.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-HttpAnswer CallHttp(const HttpCall& aCall)
+HttplibAnswer SendHttplibCall(const HttplibCall& aCall)
 {
   thread_local ClientMap sClients;
   httplib::Client& client = ClientForAddress(sClients, aCall.address);
@@ -54,15 +54,17 @@
   }
   const httplib::Result result = client.send(request);
   if (result) {
-    return { HttpOutcome::kAnswered, result->status, result->body };
+    return { HttplibOutcome::kAnswered, result->status, result->body };
   }
   sClients.erase(aCall.address);
   const bool isUnsent = result.error() == httplib::Error::Connection ||
                         result.error() == httplib::Error::ConnectionTimeout;
   if (!isUnsent) {
-    return { HttpOutcome::kLost, 0, {} };
+    return { HttplibOutcome::kLost, 0, {} };
   }
-  return { HttpOutcome::kNotConnected, 0, {}, IsConnectionRefused(aCall.address, aCall.timeout) };
+  return {
+    HttplibOutcome::kNotConnected, 0, {}, IsConnectionRefused(aCall.address, aCall.timeout)
+  };
 }
 
 } // namespace rhubarbtrail
--- a/src/core/httplib_client_func.h
+++ b/src/core/httplib_client_func.h
@@ -11,14 +11,14 @@
 
 namespace rhubarbtrail {
 
-enum class HttpOutcome : std::uint8_t
+enum class HttplibOutcome : std::uint8_t
 {
   kAnswered,
   kNotConnected, ///< No connection could be opened, so no byte of the request was sent.
   kLost,         ///< The request may have arrived, but no complete answer was received.
 };
 
-struct HttpCall
+struct HttplibCall
 {
   std::string address; ///< host:port
   std::string method = "GET";
@@ -29,19 +29,19 @@
   Duration timeout = 2s; ///< For the connect, and for each read and each write.
 };
 
-struct HttpAnswer
+struct HttplibAnswer
 {
-  HttpOutcome outcome = HttpOutcome::kLost;
+  HttplibOutcome outcome = HttplibOutcome::kLost;
   int status = 0;
   std::string body;
   /* With kNotConnected: the host refused the connection, because no process listens on the port. */
-  bool isRefused = false;
+  bool isConnectionRefused = false;
 };
 
 /* Sends a request and waits for the answer. Each thread keeps its connections open for later calls.
  * After a failed call its connection is closed, because a connection that timed out may never
  * answer again. */
-HttpAnswer CallHttp(const HttpCall& aCall);
+HttplibAnswer SendHttplibCall(const HttplibCall& aCall);
 
 } // namespace rhubarbtrail
 
--- a/src/core/httplib_server.cpp
+++ b/src/core/httplib_server.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-std::uint16_t HttpServerThread::Start(const std::string& aAddress, std::uint16_t aPort)
+std::uint16_t HttplibServerThread::Start(const std::string& aAddress, std::uint16_t aPort)
 {
   int listeningSocket = -1;
   // Replaces the default of cpp-httplib, which would let other processes share the port.
@@ -44,7 +44,7 @@
   return static_cast<std::uint16_t>(port);
 }
 
-void HttpServerThread::Stop()
+void HttplibServerThread::Stop()
 {
   mServer.stop();
   if (mThread.joinable()) {
--- a/src/core/httplib_server.h
+++ b/src/core/httplib_server.h
@@ -13,16 +13,16 @@
 namespace rhubarbtrail {
 
 /* Runs a server on its own thread. */
-class HttpServerThread
+class HttplibServerThread
 {
 public:
-  explicit HttpServerThread(httplib::Server& aServer)
+  explicit HttplibServerThread(httplib::Server& aServer)
     : mServer(aServer)
   {
   }
-  ~HttpServerThread() { Stop(); }
-  HttpServerThread(const HttpServerThread&) = delete;
-  HttpServerThread& operator=(const HttpServerThread&) = delete;
+  ~HttplibServerThread() { Stop(); }
+  HttplibServerThread(const HttplibServerThread&) = delete;
+  HttplibServerThread& operator=(const HttplibServerThread&) = delete;
 
   /* Binds the address and starts serving. With port 0, the kernel chooses a port. Returns the port,
    * or 0 if it cannot be bound. The port is not shared with other processes, and the accept queue
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -91,7 +91,7 @@
 Metrics::Metrics() = default;
 Metrics::~Metrics() = default;
 
-void Metrics::Note(RequestSample aSample)
+void Metrics::Record(RequestSample aSample)
 {
   const std::size_t hash = std::hash<std::thread::id>{}(std::this_thread::get_id());
   Stripe& stripe = mStripes[hash % kStripeCount];
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -65,7 +65,7 @@
   }
 
   /* Adds the sample of a finished request, or drops it if its stripe is full. */
-  void Note(RequestSample aSample);
+  void Record(RequestSample aSample);
 
   /* Moves the samples from the stripes to the accumulators. */
   void Collect();
--- a/src/core/unit_type.h
+++ b/src/core/unit_type.h
@@ -41,11 +41,11 @@
 
 /* A fencing token. Runners reject an order whose token is lower than one that they have seen, so
  * that a former lease holder can no longer give orders. */
-struct Fence
+struct FencingToken
 {
   std::uint64_t value = 0;
 
-  auto operator<=>(const Fence&) const = default;
+  auto operator<=>(const FencingToken&) const = default;
 };
 
 /* The version of an accepted configuration; 0 if none has been accepted yet. */
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -135,7 +135,7 @@
         .connectionLimit = mSettings.callerConnections,
         .bodyLimit = mSettings.bodyLimit,
         .requestIdPrefix = mSettings.daemonId + "-" + mSelf.id.str(),
-        .onRequestEnded = [this](RequestSample aSample) { mMetrics.Note(std::move(aSample)); } },
+        .onRequestEnded = [this](RequestSample aSample) { mMetrics.Record(std::move(aSample)); } },
       mSnapshot,
       mSessions,
       [this](Event aEvent) { mLoop.Post(std::move(aEvent)); })
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -124,7 +124,7 @@
                     if (aSuspect.isCleared) {
                       mGateway.crashes.RecordAnswer(aSuspect.request);
                     } else {
-                      mGateway.crashes.RecordCrash(BootTime(), aSuspect.request);
+                      mGateway.crashes.RecordCrash(BootClockNow(), aSuspect.request);
                     }
                   },
                 .onDaemonCount = [this](std::uint32_t aCount) { OnDaemonCount(aCount); } },
@@ -283,7 +283,7 @@
       if (aError) {
         return;
       }
-      const TimePoint now = BootTime();
+      const TimePoint now = BootClockNow();
       mRunnerFeed.SetMinInterval(mMember.isDispatcher() ? kDispatcherRunnerWatchInterval
                                                         : RunnerWatchInterval());
       for (const auto& [id, runner] : mRunners.runners()) {
@@ -291,7 +291,7 @@
             mRunners.Check(now, runner) == fleet::Exclusion::kGone) {
           mLog.Write(
             "runner_given_up",
-            { { "endpoint", id }, { "missing_ms", Milliseconds(now - *runner.missingSince) } });
+            { { "endpoint", id }, { "missing_ms", ToMilliseconds(now - *runner.missingSince) } });
           mDispatcher.OnRunnerGone(id);
         }
       }
@@ -317,7 +317,7 @@
              .onRemoved = [this](const std::string& aKey) { OnRunnerRemoved(EndpointId{ aKey }); },
              .onSynced = [] {},
              .onStoreLost = [this] { mRunners.OnStoreUnreachable(); },
-             .onStoreRecovered = [this] { mRunners.OnStoreReachable(BootTime()); } };
+             .onStoreRecovered = [this] { mRunners.OnStoreReachable(BootClockNow()); } };
   }
 
   void OnConfigurationRow(const platform::StoreRow& aRow)
@@ -362,9 +362,9 @@
                    { "reason", entry.error() } });
       return;
     }
-    mDispatcher.OnRunnerEntry(BootTime(), *entry);
+    mDispatcher.OnRunnerEntry(BootClockNow(), *entry);
     mMember.OnDispatcherInputChanged();
-    const auto change = mRunners.Apply(BootTime(), *entry);
+    const auto change = mRunners.Apply(BootClockNow(), *entry);
     if (change == fleet::RunnerRegistry::Change::kUpdated ||
         change == fleet::RunnerRegistry::Change::kNone) {
       return;
@@ -379,15 +379,15 @@
                  { "on_disk", entry->holdings.onDisk.size() },
                  { "row_version", aRow.version.value } });
     if (change != fleet::RunnerRegistry::Change::kJoined) {
-      mClient.Forget(entry->address);
+      mClient.CloseIdleTo(entry->address);
     }
   }
 
   void OnRunnerRemoved(const EndpointId& aRunner)
   {
-    mRunners.Remove(BootTime(), aRunner);
+    mRunners.Remove(BootClockNow(), aRunner);
     const fleet::KnownRunner* runner = mRunners.Find(aRunner);
-    if (runner == nullptr || mRunners.Check(BootTime(), *runner) == fleet::Exclusion::kGone) {
+    if (runner == nullptr || mRunners.Check(BootClockNow(), *runner) == fleet::Exclusion::kGone) {
       mDispatcher.OnRunnerGone(aRunner);
       mMember.OnDispatcherInputChanged();
     }
@@ -434,7 +434,7 @@
   /* Returns the state of this daemon as JSON, for operators. */
   std::string DescribeState() const
   {
-    const TimePoint now = BootTime();
+    const TimePoint now = BootClockNow();
     nlohmann::ordered_json state{
       { "daemon", mSettings.daemonId },
       { "incarnation", mIncarnation },
@@ -455,7 +455,7 @@
         { "usable", mRunners.Check(now, runner) == fleet::Exclusion::kNone },
         { "in_flight_here", runner.inFlight },
         { "failure_share", runner.health.failureShare() },
-        { "entry_age_ms", Milliseconds(now - runner.changedAt) },
+        { "entry_age_ms", ToMilliseconds(now - runner.changedAt) },
       };
       if (mMember.isDispatcher() && managed != mDispatcher.runners().end()) {
         item["models"] = nlohmann::ordered_json::array();
@@ -484,7 +484,9 @@
       { "front_rejected", "Malformed or oversized requests so far.", front.rejected },
       { "open_requests", "Requests without a final answer.", mGateway.openRequests.size() },
       { "endpoint_connects", "Connections opened so far.", client.connects },
-      { "endpoint_spoiled", "Connections dropped for unasked bytes so far.", client.spoiled },
+      { "endpoint_spoiled",
+        "Connections dropped for unasked bytes so far.",
+        client.unsolicitedData },
       { "store_reads", "Reads of the store so far.", store.reads },
       { "store_writes", "Writes to the store so far.", store.writes },
       { "store_watches", "Waits for changes of the store so far.", store.watches },
@@ -554,7 +556,7 @@
       return;
     }
     mIsStopping = true;
-    mShutdownStartedAt = BootTime();
+    mShutdownStartedAt = BootClockNow();
     mLog.Write("stopping", { { "open_requests", mGateway.openRequests.size() } });
     mClientServer.Drain();
     mMember.Release();
@@ -563,7 +565,7 @@
 
   void CheckShutdown()
   {
-    const Duration passed = BootTime() - mShutdownStartedAt;
+    const Duration passed = BootClockNow() - mShutdownStartedAt;
     if (passed >= kDeregistrationDelay && !std::exchange(mGateway.isLeaving, true)) {
       // The balancer sends no more connections here. Idle connections are closed, and requests that
       // arrive on others are refused with a retry time, so that clients use another daemon.
@@ -573,7 +575,7 @@
       EndWaitingRequests(mGateway);
     }
     const bool isQuiet =
-      passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsQuiet();
+      passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsDrained();
     // The server must be quiet at two checks in a row, because the last bytes of an answer may
     // still be in transit at the first one.
     const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
@@ -581,9 +583,9 @@
     const bool isLate = passed >= mSettings.edge.shutdownGrace - kExitMargin;
     if (isIdle || isLate) {
       LogStatus();
-      mLog.Write(
-        "stop",
-        { { "open_requests", mGateway.openRequests.size() }, { "took_ms", Milliseconds(passed) } });
+      mLog.Write("stop",
+                 { { "open_requests", mGateway.openRequests.size() },
+                   { "took_ms", ToMilliseconds(passed) } });
       mExitCode = mGateway.openRequests.empty() ? kExitOk : kExitRequestsLeft;
       mLog.Flush();
       mLoop.stop();
--- a/src/decision/action_type.h
+++ b/src/decision/action_type.h
@@ -88,7 +88,7 @@
   std::string address; ///< host:port
   OrderId order;
   OrderKind kind = OrderKind::kInventory;
-  Fence fence;         ///< Runners that check it reject an order with a lower one than before.
+  FencingToken fence;  ///< Runners that check it reject an order with a lower one than before.
   Artifact artifact;   ///< Empty for an inventory order.
   std::string version; ///< Version of the model.
   MemoryMb memory;     ///< Of a model order: reserved for the model and all its adapters.
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -52,7 +52,7 @@
 {
   bool mayOrder = false;
   std::string holder;
-  Fence fence;
+  FencingToken fence;
 };
 
 /* An adapter that a runner holds or is loading. */
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -111,7 +111,7 @@
   /* Returns whether this daemon may send an order now. */
   bool MayOrder(TimePoint aNow) const;
   /* Returns the fencing token of this lease term: the row's version when the lease was taken. */
-  Fence fence() const { return mFence; }
+  FencingToken fence() const { return mFence; }
   /* Returns the last known row. Its holder is empty when no daemon holds the lease. */
   const OrderLeaseRow& row() const { return mRow; }
   RowVersion version() const { return mVersion; }
@@ -135,7 +135,7 @@
   Phase mPhase = Phase::kWatching;
   OrderLeaseRow mRow;
   RowVersion mVersion;
-  Fence mFence;
+  FencingToken mFence;
   bool mIsActionInProgress = false; ///< A read or write is in progress.
   bool mIsRowKnown = false;         ///< The row was read, or arrived with a heartbeat.
   bool mIsWriteUnconfirmed = false; ///< The result of a write is unknown, so the row must be read.
--- a/src/decision/fleet/order_type.h
+++ b/src/decision/fleet/order_type.h
@@ -24,7 +24,7 @@
   /* The runner rejects the order unless it has accepted this number of orders before. */
   std::uint64_t expectedOrderCount = 0;
   std::string holder;
-  Fence fence;
+  FencingToken fence;
 };
 
 enum class OrderOutcome : std::uint8_t
--- a/src/decision/message_type.h
+++ b/src/decision/message_type.h
@@ -69,7 +69,7 @@
   DaemonId holder;         ///< kNotHolder: the holder that the daemon knows of, or empty.
   /* Fencing token that the sender knows of. It is lower than in an earlier reply if the sender is a
    * former holder. */
-  Fence fence;
+  FencingToken fence;
 };
 
 /* Tells a router to stop using a replica, and to answer when it has no request left there. */
@@ -78,7 +78,7 @@
   CellId cell;
   EndpointId runner;
   ModelId model;
-  Fence fence; ///< Fencing token of the holder, which ignores answers with another one.
+  FencingToken fence; ///< Fencing token of the holder, which ignores answers with another one.
 };
 
 /* Answers a DrainMessage, with the same values, when the router has no request in flight on the
@@ -88,7 +88,7 @@
   CellId cell;
   EndpointId runner;
   ModelId model;
-  Fence fence;
+  FencingToken fence;
 };
 
 /* Sent by a new holder to the issuer of an order that may still be in flight. The issuer must not
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -80,7 +80,7 @@
 struct HolderContact
 {
   DaemonId holder; ///< Daemon that requests go to: the last that answered, was named or was tried.
-  Fence fence;     ///< Highest fence seen. Demand replies with a lower one are ignored.
+  FencingToken fence; ///< Highest fence seen. Demand replies with a lower one are ignored.
   std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
   bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
   std::optional<TimePoint> holderUnansweredSince; ///< Time of its first unanswered request.
--- a/src/decision/row_type.h
+++ b/src/decision/row_type.h
@@ -29,7 +29,7 @@
 struct CellLeaseRow
 {
   Incarnation holder; ///< Its daemon id is empty after the holder has released the lease.
-  Fence fence;        ///< Fencing token of the lease term. Each acquisition raises it by one.
+  FencingToken fence; ///< Fencing token of the lease term. Each acquisition raises it by one.
   std::uint64_t renewals = 0; ///< Writes since the acquisition. A release counts as one, too.
   ChangeId change;            ///< Transaction that wrote the row.
 };
@@ -57,7 +57,7 @@
 /* The replicas of a cell, as its holder last recorded them. A new holder starts from this row. */
 struct PlacementRow
 {
-  Fence fence; ///< Fencing token of the holder that wrote the row.
+  FencingToken fence; ///< Fencing token of the holder that wrote the row.
   std::vector<PlacementEntry> entries;
   ChangeId change; ///< Transaction that wrote the row.
 };
--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -290,7 +290,7 @@
   CellId mId;
   LeasePhase mPhase = LeasePhase::kNotHeld;
   Incarnation mHolder; ///< As last read, or this daemon. Empty when unknown or none.
-  Fence mFence;
+  FencingToken mFence;
   std::uint64_t mRenewals = 0;
   RowVersion mLeaseVersion;
   RowVersion mPlacementVersion;
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -91,7 +91,7 @@
   const auto* placement =
     aPlacement.value ? std::get_if<PlacementRow>(&*aPlacement.value) : nullptr;
   const Incarnation holder = lease != nullptr ? lease->holder : Incarnation{};
-  const Fence fence = lease != nullptr ? lease->fence : Fence{};
+  const FencingToken fence = lease != nullptr ? lease->fence : FencingToken{};
   const bool isHeldBySelf = holder == aContext.self();
 
   if (mPhase == LeasePhase::kHeld) {
@@ -148,7 +148,7 @@
   mLeaseChange = ChangeId{ aContext.NewUniqueId() };
   mLeaseChangeSentAt = aContext.now();
   CellLeaseRow lease{ .holder = aContext.self(),
-                      .fence = Fence{ mFence.value + 1 },
+                      .fence = FencingToken{ mFence.value + 1 },
                       .renewals = 0,
                       .change = mLeaseChange };
   PlacementRow placement = mLastReadPlacement;
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -35,19 +35,19 @@
   return aState == "failed" ? OrderOutcome::kFailed : OrderOutcome::kUnknown;
 }
 
-OrderResult MakeOrderResult(const SendOrder& aOrder, const HttpAnswer& aAnswer)
+OrderResult MakeOrderResult(const SendOrder& aOrder, const HttplibAnswer& aAnswer)
 {
   OrderResult result{ .cell = aOrder.cell,
                       .runner = aOrder.runner,
                       .order = aOrder.order,
                       .outcome = OrderOutcome::kUnknown,
                       .inventory = {} };
-  if (aAnswer.outcome == HttpOutcome::kNotConnected) {
+  if (aAnswer.outcome == HttplibOutcome::kNotConnected) {
     result.outcome =
-      aAnswer.isRefused ? OrderOutcome::kConnectionRefused : OrderOutcome::kNotConnected;
+      aAnswer.isConnectionRefused ? OrderOutcome::kConnectionRefused : OrderOutcome::kNotConnected;
     return result;
   }
-  if (aAnswer.outcome != HttpOutcome::kAnswered || aAnswer.status != 200) {
+  if (aAnswer.outcome != HttplibOutcome::kAnswered || aAnswer.status != 200) {
     return result;
   }
   try {
@@ -79,11 +79,11 @@
                    { "version", aOrder.version },
                    { "memory", aOrder.memory.value } };
   return MakeOrderResult(aOrder,
-                         CallHttp({ .address = aOrder.address,
-                                    .method = "POST",
-                                    .path = "/orders",
-                                    .body = body.dump(),
-                                    .timeout = aOptions.timeout }));
+                         SendHttplibCall({ .address = aOrder.address,
+                                           .method = "POST",
+                                           .path = "/orders",
+                                           .body = body.dump(),
+                                           .timeout = aOptions.timeout }));
 }
 
 OrderResult WaitForOrder(const OrderClientOptions& aOptions, const SendOrder& aOrder)
@@ -92,10 +92,10 @@
     "/orders/" + aOrder.order.str() + "?wait_ms=" + std::to_string(kOrderStatusWait / 1ms);
   OrderResult result =
     MakeOrderResult(aOrder,
-                    CallHttp({ .address = aOrder.address,
-                               .path = path,
-                               .body = {},
-                               .timeout = aOptions.timeout + kOrderStatusWait }));
+                    SendHttplibCall({ .address = aOrder.address,
+                                      .path = path,
+                                      .body = {},
+                                      .timeout = aOptions.timeout + kOrderStatusWait }));
   if (result.outcome == OrderOutcome::kNotConnected ||
       result.outcome == OrderOutcome::kConnectionRefused) {
     // The runner had accepted the order, so the order may still take effect.
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -84,7 +84,7 @@
 
 void FleetMember::Tick()
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   if (const auto action = mLease.Tick(now)) {
     Execute(*action);
   }
@@ -144,7 +144,7 @@
 
 void FleetMember::OnLeaseRead(const StoreResult& aResult)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   if (aResult.outcome != StoreOutcome::kDone) {
     mLease.OnReadFailed(now);
     return;
@@ -166,7 +166,7 @@
 
 void FleetMember::OnLeaseWritten(const StoreResult& aResult)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   switch (aResult.outcome) {
     case StoreOutcome::kDone:
       mLease.OnWritten(now, aResult.answer.newest);
@@ -203,7 +203,7 @@
  * its own dispatcher. Updates the dispatcher's order permission. */
 void FleetMember::ApplyLeaseState()
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   const bool isHolder = isDispatcher();
   const std::string holder = mLease.row().holder.str() + "/" + mLease.row().incarnation.str();
   if (holder != mLoggedHolder) {
@@ -249,7 +249,7 @@
 {
   return { .lease = mLease.row(),
            .version = mLease.version(),
-           .state = mLease.state(BootTime()),
+           .state = mLease.state(BootClockNow()),
            .daemons = static_cast<std::uint32_t>(mMembers.size()) + 1 };
 }
 
@@ -279,7 +279,7 @@
     }
     mServices.log.Write(
       "member_lost",
-      { { "member", id }, { "silent_ms", Milliseconds(aNow - member.lastMessageAt) } });
+      { { "member", id }, { "silent_ms", ToMilliseconds(aNow - member.lastMessageAt) } });
     mServices.dispatcher.OnDaemonLost(id);
     mLink.Disconnect(member.address);
     return true;
@@ -294,7 +294,7 @@
   mServices.log.Write("dispatcher_lost",
                       { { "dispatcher", mDispatcherLease.holder },
                         { "why", aReason },
-                        { "heard_ms_ago", Milliseconds(BootTime() - mLastHeartbeatAt) } });
+                        { "heard_ms_ago", ToMilliseconds(BootClockNow() - mLastHeartbeatAt) } });
   mLink.Disconnect(mDispatcherLease.address);
   mServices.placement.OnDispatcherLost();
 }
@@ -311,7 +311,7 @@
   }
   if (const auto member = mMembers.find(message->from);
       member != mMembers.end() && member->second.incarnation == message->incarnation) {
-    member->second.lastMessageAt = BootTime();
+    member->second.lastMessageAt = BootClockNow();
   }
   std::visit(
     Overloaded{
@@ -361,7 +361,7 @@
   mMembers[aMessage.from] = { .incarnation = aMessage.incarnation,
                               .address = aHello.address,
                               .zone = aHello.zone,
-                              .lastMessageAt = BootTime() };
+                              .lastMessageAt = BootClockNow() };
   if (isNew) {
     Send(aHello.address, MakeHeartbeat());
   }
@@ -370,7 +370,7 @@
 void FleetMember::OnHolderHeartbeat(const FleetMessage& aMessage,
                                     const HolderHeartbeatMessage& aHeartbeat)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   if (aMessage.from != aHeartbeat.lease.holder || aHeartbeat.version < mLease.version()) {
     return; // From a former holder that has not yet noticed that it lost the lease.
   }
@@ -437,7 +437,7 @@
 void FleetMember::HandleDispatchMessage(const DaemonId& aFrom,
                                         const fleet::DispatchMessage& aMessage)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   std::visit(Overloaded{ [&](const fleet::PlacementRequest& aRequest) {
                           mServices.dispatcher.OnPlacementRequest(now, aRequest, ZoneOf(aFrom));
                         },
@@ -476,11 +476,11 @@
     return;
   }
   ApplyLeaseState();
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   for (const auto& action : mServices.dispatcher.Tick(now)) {
     Execute(action);
   }
-  const Duration pause = std::max(mServices.dispatcher.nextTickAt() - BootTime(),
+  const Duration pause = std::max(mServices.dispatcher.nextTickAt() - BootClockNow(),
                                   Duration{ std::chrono::milliseconds{ 1 } });
   mDispatcherTimer.expires_after(pause);
   mDispatcherTimer.async_wait([this](boost::system::error_code aError) {
@@ -502,7 +502,7 @@
                                                  { "model", aNote.model.model },
                                                  { "adapter", aNote.model.adapter },
                                                  { "why", aNote.why },
-                                                 { "time_ms", Milliseconds(aNote.time) },
+                                                 { "time_ms", ToMilliseconds(aNote.time) },
                                                  { "count", aNote.count },
                                                  { "fence", mLease.fence().value } });
                          } },
@@ -523,9 +523,10 @@
 void FleetMember::SendOrder(const fleet::RunnerOrder& aOrder)
 {
   // Checked again: the host may have been suspended since the dispatcher decided, and the
-  // permission to give orders may have expired meanwhile. BootTime() counts suspensions.
-  if (!mLease.MayOrder(BootTime())) {
-    mServices.dispatcher.OnOrderResult(BootTime(), aOrder.runner, fleet::OrderOutcome::kNotSent);
+  // permission to give orders may have expired meanwhile. BootClockNow() counts suspensions.
+  if (!mLease.MayOrder(BootClockNow())) {
+    mServices.dispatcher.OnOrderResult(
+      BootClockNow(), aOrder.runner, fleet::OrderOutcome::kNotSent);
     return;
   }
   if (aOrder.subject.adapter.empty()) {
@@ -539,9 +540,9 @@
     { .address = aOrder.address,
       .request = platform::EncodeOrder(aOrder),
       .reuse = http::Reuse::kAllowed,
-      .connectTime = kRunnerConnectTimeout,
-      .answerTime = kOrderTimeout,
-      .silenceTime = kOrderTimeout },
+      .connectTimeout = kRunnerConnectTimeout,
+      .answerTimeout = kOrderTimeout,
+      .bodyIdleTimeout = kOrderTimeout },
     { .onHead =
         [status](const http::AnswerHead& aHead) {
           *status = aHead.status;
@@ -564,7 +565,7 @@
                                 { "result", http::ToString(aResult) },
                                 { "expected_count", order.expectedOrderCount },
                                 { "fence", order.fence.value } });
-          mServices.dispatcher.OnOrderResult(BootTime(), order.runner, outcome);
+          mServices.dispatcher.OnOrderResult(BootClockNow(), order.runner, outcome);
           ScheduleDispatcherTick();
         } });
 }
@@ -580,9 +581,9 @@
   mServices.client.Start(
     { .address = aWanted.address,
       .request = platform::EncodeReportRequest(aWanted.runner),
-      .connectTime = kRunnerConnectTimeout,
-      .answerTime = kReportTimeout,
-      .silenceTime = kReportTimeout },
+      .connectTimeout = kRunnerConnectTimeout,
+      .answerTimeout = kReportTimeout,
+      .bodyIdleTimeout = kReportTimeout },
     { .onHead =
         [progress](const http::AnswerHead& aHead) {
           progress->status = aHead.status;
@@ -602,7 +603,7 @@
                                   { "status", progress->status },
                                   { "reason", report.error() } });
           }
-          mServices.dispatcher.OnReport(BootTime(), runner, report ? &*report : nullptr);
+          mServices.dispatcher.OnReport(BootClockNow(), runner, report ? &*report : nullptr);
           ScheduleDispatcherTick();
         } });
 }
--- a/src/fleet/store_client.cpp
+++ b/src/fleet/store_client.cpp
@@ -107,9 +107,9 @@
   };
   mClient.Start({ .address = mAddress,
                   .request = std::move(aRequest),
-                  .connectTime = kConnectTimeout,
-                  .answerTime = aTimeout,
-                  .silenceTime = kCallTimeout },
+                  .connectTimeout = kConnectTimeout,
+                  .answerTimeout = aTimeout,
+                  .bodyIdleTimeout = kCallTimeout },
                 { .onHead =
                     [progress](const http::AnswerHead& aHead) {
                       progress->status = aHead.status;
--- a/src/fleet/table_feed.cpp
+++ b/src/fleet/table_feed.cpp
@@ -102,7 +102,7 @@
 
 void TableFeed::Watch()
 {
-  mWatchStartedAt = BootTime();
+  mWatchStartedAt = BootClockNow();
   mStore.Watch(mOptions.table, mVersion, mOptions.watchTimeout, [this](const StoreResult& aResult) {
     if (!mIsStopped) {
       OnChanges(aResult);
@@ -128,7 +128,7 @@
   }
   mVersion = std::max(mVersion, aResult.answer.newest);
   mHandlers.onSynced();
-  const Duration passed = BootTime() - mWatchStartedAt;
+  const Duration passed = BootClockNow() - mWatchStartedAt;
   if (passed < mOptions.minInterval) {
     RunAfter(mOptions.minInterval - passed, [this] { Watch(); });
   } else {
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -100,8 +100,8 @@
                      { { "id", mClient.requestId },
                        { "reason", aReason },
                        { "code", static_cast<int>(aCode) },
-                       { "retry_after_ms", Milliseconds(aRetryAfter) },
-                       { "waited_ms", Milliseconds(BootTime() - mArrivedAt) },
+                       { "retry_after_ms", ToMilliseconds(aRetryAfter) },
+                       { "waited_ms", ToMilliseconds(BootClockNow() - mArrivedAt) },
                        { "refusals", mAttemptState.refusals } });
   SendOwnAnswer(aCode, info.httpStatus, aRetryAfter);
   End("refused", aCode, info.httpStatus);
@@ -121,7 +121,7 @@
                        { "code", static_cast<int>(aCode) },
                        { "runs", mAttemptState.runs },
                        { "endpoint", mAttempt.endpoint },
-                       { "waited_ms", Milliseconds(BootTime() - mArrivedAt) } });
+                       { "waited_ms", ToMilliseconds(BootClockNow() - mArrivedAt) } });
   const unsigned status =
     StatesNotRun(info.httpStatus) && mAttemptState.runs > 0 ? kBadGateway : info.httpStatus;
   SendOwnAnswer(aCode, status, Duration::zero());
@@ -146,12 +146,12 @@
   if (std::exchange(mIsEnded, true)) {
     return;
   }
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   mDeadlineTimer.cancel();
   mWaitTimer.cancel();
-  mResponder->OnGone(nullptr);
+  mResponder->OnClosed(nullptr);
   mResponder->OnDrained(nullptr);
-  mContext.metrics.Note(
+  mContext.metrics.Record(
     { .code = aCode, .requestClass = RequestClassOf(mRoute), .latency = now - mArrivedAt });
   mContext.log.Write(
     "request_ended",
@@ -159,8 +159,8 @@
       { "outcome", aOutcome },
       { "status", aStatus },
       { "endpoint", mAttempt.endpoint },
-      { "took_ms", Milliseconds(now - mArrivedAt) },
-      { "first_event_ms", mIsHeadSent ? Milliseconds(mFirstByteAt - mArrivedAt) : -1 },
+      { "took_ms", ToMilliseconds(now - mArrivedAt) },
+      { "first_event_ms", mIsHeadSent ? ToMilliseconds(mFirstByteAt - mArrivedAt) : -1 },
       { "events", mEventsForwarded } });
 }
 
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -108,7 +108,7 @@
   : mContext(aContext)
   , mRequest(std::move(aRequest))
   , mResponder(std::move(aResponder))
-  , mArrivedAt(BootTime())
+  , mArrivedAt(BootClockNow())
   , mDeadlineTimer(aContext.loop)
   , mWaitTimer(aContext.loop)
 {
@@ -183,7 +183,7 @@
                     .kind = mRoute->kind,
                     .isResumable = mRoute->kind == RouteKind::kStream && mRoute->isResumable };
   mContext.retries.RecordRequest(mArrivedAt, mService);
-  mResponder->OnGone([self = shared_from_this()] { self->OnClientGone(); });
+  mResponder->OnClosed([self = shared_from_this()] { self->OnClientGone(); });
   mDeadlineTimer.expires_after(timeLeft);
   mDeadlineTimer.async_wait([self = shared_from_this()](boost::system::error_code aError) {
     if (!aError) {
@@ -196,7 +196,7 @@
                        { "service", mService },
                        { "model", UsesModels() ? mClient.work->target.model.str() : "" },
                        { "adapter", UsesModels() ? mClient.work->target.adapter.str() : "" },
-                       { "time_left_ms", Milliseconds(timeLeft) },
+                       { "time_left_ms", ToMilliseconds(timeLeft) },
                        { "config_version", mConfiguration->version.value } });
   SelectEndpoint();
 }
@@ -222,7 +222,7 @@
 
 Duration RequestFlow::TimeLeft() const
 {
-  return std::max(mDeadline - BootTime(), Duration::zero());
+  return std::max(mDeadline - BootClockNow(), Duration::zero());
 }
 
 /* Returns the time after arrival at which a client gives up a stream that has no event yet. */
@@ -254,8 +254,8 @@
     .work = *mClient.work,
     .priority = mRoute->priority,
     .latencyObjective =
-      std::max(mRoute->latencyObjective - (BootTime() - mArrivedAt), Duration::zero()),
-    .timeLeft = std::min(TimeLeft(), ClientTimeout() - (BootTime() - mArrivedAt)),
+      std::max(mRoute->latencyObjective - (BootClockNow() - mArrivedAt), Duration::zero()),
+    .timeLeft = std::min(TimeLeft(), ClientTimeout() - (BootClockNow() - mArrivedAt)),
     .isResumable = mAttemptState.isResumable,
     .failedRunners = { mFailedEndpoints.begin(), mFailedEndpoints.end() },
   };
@@ -297,7 +297,7 @@
 
 void RequestFlow::SelectLocally(std::string_view aSelectionReason)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   const auto chosen =
     mContext.runners.Choose(now,
                             { .service = mService,
@@ -314,7 +314,7 @@
 
 void RequestFlow::WaitForEndpoint()
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   const Duration maxWait = (mDeadline - mArrivedAt) / kEndpointWaitDivisor;
   if (now - mArrivedAt >= maxWait) {
     if (mAttemptState.runs == 0) {
@@ -351,7 +351,7 @@
 
 void RequestFlow::SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason)
 {
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   const fleet::KnownRunner* runner = mContext.runners.Find(aEndpoint);
   const fleet::Exclusion exclusion =
     runner == nullptr ? fleet::Exclusion::kGone : mContext.runners.Check(now, *runner);
@@ -382,8 +382,8 @@
                        { "endpoint", aEndpoint },
                        { "why", aSelectionReason },
                        { "attempt", mAttemptState.runs + mAttemptState.refusals + 1 },
-                       { "waited_ms", Milliseconds(now - mArrivedAt) },
-                       { "entry_age_ms", Milliseconds(now - runner->changedAt) },
+                       { "waited_ms", ToMilliseconds(now - mArrivedAt) },
+                       { "entry_age_ms", ToMilliseconds(now - runner->changedAt) },
                        { "last_event", mLastEventId } });
   const bool mayRepeat = mRoute->MayRepeatOrResume();
   http::CallOptions options{
@@ -395,11 +395,11 @@
                                                   .hasPriority = UsesModels(),
                                                   .lastEventId = mLastEventId }),
     .reuse = mayRepeat ? http::Reuse::kAllowed : http::Reuse::kFresh,
-    .connectTime = kConnectTimeout,
-    .answerTime = AnswerTimeout(),
-    .silenceTime = mAttemptState.isResumable && mRoute->eventGapObjective > Duration::zero()
-                     ? mRoute->eventGapObjective * kStreamTimeoutPauses
-                     : Duration::zero(),
+    .connectTimeout = kConnectTimeout,
+    .answerTimeout = AnswerTimeout(),
+    .bodyIdleTimeout = mAttemptState.isResumable && mRoute->eventGapObjective > Duration::zero()
+                         ? mRoute->eventGapObjective * kStreamTimeoutPauses
+                         : Duration::zero(),
   };
   const auto weak = weak_from_this();
   mAttempt.call = mContext.client.Start(
@@ -429,7 +429,7 @@
     return false;
   }
   if (decodedHead.load) {
-    mContext.runners.RecordLoad(BootTime(), mAttempt.endpoint, *decodedHead.load);
+    mContext.runners.RecordLoad(BootClockNow(), mAttempt.endpoint, *decodedHead.load);
   }
   const bool isSuccess = aHead.status >= 200 && aHead.status < 300;
   mAttempt.isInvalid =
@@ -479,7 +479,7 @@
     forwarded += *event;
   }
   if (!forwarded.empty() && mAttempt.timeToFirstEvent == Duration::zero()) {
-    mAttempt.timeToFirstEvent = BootTime() - mAttempt.startedAt;
+    mAttempt.timeToFirstEvent = BootClockNow() - mAttempt.startedAt;
   }
   if (forwarded.empty()) {
     return;
@@ -494,7 +494,7 @@
     return;
   }
   mIsHeadSent = true;
-  mFirstByteAt = BootTime();
+  mFirstByteAt = BootClockNow();
   http::AnswerHead head = platform::EncodeForwardedAnswer(*mAttempt.head);
   head.framing = http::Framing::kChunked;
   mResponder->SendHead(head);
@@ -527,7 +527,7 @@
     return;
   }
   const AttemptEnd end = ClassifyAttempt(aResult);
-  const TimePoint now = BootTime();
+  const TimePoint now = BootClockNow();
   switch (end) {
     case AttemptEnd::kAnswered:
       mContext.runners.RecordRequestEnd(now, mAttempt.endpoint, fleet::EndpointOutcome::kSucceeded);
@@ -569,8 +569,8 @@
   mContext.client.Start({ .address = runner->entry.address,
                           .request = platform::EncodeReportRequest(mAttempt.endpoint),
                           .reuse = http::Reuse::kFresh,
-                          .connectTime = kConnectTimeout,
-                          .answerTime = kConnectTimeout },
+                          .connectTimeout = kConnectTimeout,
+                          .answerTimeout = kConnectTimeout },
                         { .onHead = [](const http::AnswerHead&) { return true; },
                           .onBody = [](std::string_view) {},
                           .onEnd =
@@ -584,7 +584,7 @@
                               context.log.Write(
                                 "request_suspected",
                                 { { "id", id }, { "endpoint", endpoint }, { "bytes", request } });
-                              context.crashes.RecordCrash(BootTime(), request);
+                              context.crashes.RecordCrash(BootClockNow(), request);
                               context.onSuspect(request);
                             } });
 }
@@ -595,7 +595,7 @@
   mAttemptState.runs += hasRun ? 1 : 0;
   mAttemptState.refusals += hasRun ? 0 : 1;
   mAttemptState.timeLeft = TimeLeft();
-  mAttemptState.isQuarantined = mContext.crashes.IsQuarantined(BootTime(), mFingerprint);
+  mAttemptState.isQuarantined = mContext.crashes.IsQuarantined(BootClockNow(), mFingerprint);
   if (mRequest.method == "HEAD" && aEnd == AttemptEnd::kAnswered) {
     mAttempt.body.clear();
   }
@@ -609,15 +609,15 @@
                          { "result", aResult },
                          { "status", mAttempt.head ? mAttempt.head->status : 0U },
                          { "signed", mAttempt.decodedHead.hasSignature },
-                         { "took_ms", Milliseconds(BootTime() - mAttempt.startedAt) },
+                         { "took_ms", ToMilliseconds(BootClockNow() - mAttempt.startedAt) },
                          { "runs", mAttemptState.runs },
                          { "refusals", mAttemptState.refusals },
                          { "events_passed", mEventsForwarded },
-                         { "time_left_ms", Milliseconds(mAttemptState.timeLeft) } });
+                         { "time_left_ms", ToMilliseconds(mAttemptState.timeLeft) } });
   }
   // If the retry budget allows no other attempt, the client gets the endpoint's own 5xx answer.
   if (step == NextStep::kRetry && aEnd == AttemptEnd::kErrorAnswer &&
-      mContext.retries.RemainingRetries(BootTime(), mService) < 1.0) {
+      mContext.retries.RemainingRetries(BootClockNow(), mService) < 1.0) {
     step = NextStep::kForwardAnswer;
   }
   switch (step) {
@@ -658,7 +658,7 @@
   mAttempt.call->Cancel();
   mAttempt.call.reset();
   mContext.runners.RecordRequestEnd(
-    BootTime(), mAttempt.endpoint, fleet::EndpointOutcome::kCancelled);
+    BootClockNow(), mAttempt.endpoint, fleet::EndpointOutcome::kCancelled);
   ReleaseAssignment(fleet::AssignmentEnd::kDone);
 }
 
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -131,8 +131,8 @@
     mHandlers = std::move(aHandlers);
     mRequestBytes = Serialize(aOptions.request, mAddress);
     mIsHeadRequest = aOptions.request.method == "HEAD";
-    mBodyIdleTimeout = aOptions.silenceTime;
-    mAnswerDeadline = asio::steady_timer::clock_type::now() + aOptions.answerTime;
+    mBodyIdleTimeout = aOptions.bodyIdleTimeout;
+    mAnswerDeadline = asio::steady_timer::clock_type::now() + aOptions.answerTimeout;
     mHasAnswerHead = false;
     mSkippedAnswers = 0;
     mIsPaused = false;
@@ -147,7 +147,7 @@
     }
     mState = State::kConnecting;
     SetTimer(
-      std::min(mAnswerDeadline, asio::steady_timer::clock_type::now() + aOptions.connectTime));
+      std::min(mAnswerDeadline, asio::steady_timer::clock_type::now() + aOptions.connectTimeout));
     Connect();
     return mCallNumber;
   }
@@ -218,7 +218,7 @@
 
   void Connect()
   {
-    const auto endpoint = ParseEndpoint(mAddress);
+    const auto endpoint = ParseSocketAddress(mAddress);
     error_code error;
     if (endpoint) {
       mSocket.open(endpoint->protocol(), error);
@@ -283,7 +283,7 @@
     }
     if (mState == State::kIdle) {
       if (!aError && !aBytes.empty()) {
-        ++mClient->counts.spoiled;
+        ++mClient->counts.unsolicitedData;
       }
       Close();
       return;
@@ -377,7 +377,7 @@
       EndCall(CallResult::kComplete);
       return;
     }
-    ++mClient->counts.spoiled;
+    ++mClient->counts.unsolicitedData;
     if (++mSkippedAnswers > kMaxSkippedAnswers || !mParser->keep_alive()) {
       EndCall(CallResult::kMalformed);
       return;
@@ -394,7 +394,7 @@
                          mParser->keep_alive() && !mIsWriting && mRequestBytes.empty() &&
                          mReceiveBuffer.empty() && mSkippedAnswers == 0;
     if (aResult == CallResult::kComplete && !mReceiveBuffer.empty()) {
-      ++mClient->counts.spoiled;
+      ++mClient->counts.unsolicitedData;
     }
     auto handlers = std::exchange(mHandlers, {});
     const Duration idleTimeout =
@@ -523,7 +523,7 @@
   return std::make_unique<Call>(connection, number);
 }
 
-void Client::Forget(const std::string& aAddress)
+void Client::CloseIdleTo(const std::string& aAddress)
 {
   const auto found = mImpl->idleConnections.find(aAddress);
   if (found == mImpl->idleConnections.end()) {
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -26,9 +26,9 @@
   std::string address; ///< IP:port
   Request request;
   Reuse reuse = Reuse::kAllowed;
-  Duration connectTime = 1s; ///< Time limit for opening a connection.
-  Duration answerTime = 2s;  ///< From the start of the call to the head of the final answer.
-  Duration silenceTime{};    ///< Longest time without bytes after the head; 0 for no limit.
+  Duration connectTimeout = 1s; ///< Time limit for opening a connection.
+  Duration answerTimeout = 2s;  ///< From the start of the call to the head of the final answer.
+  Duration bodyIdleTimeout{};   ///< Longest time without bytes after the head; 0 for no limit.
 };
 
 enum class CallResult : std::uint8_t
@@ -37,7 +37,7 @@
   kNotConnected, ///< No connection could be opened in time, so no byte of the request was sent.
   kBroken,       ///< The connection ended before the end of the answer.
   kMalformed,    ///< Not a valid HTTP answer, or too many answers to other requests.
-  kTimedOut,     ///< answerTime passed without a head, or silenceTime without bytes of the body.
+  kTimedOut, ///< answerTimeout passed without a head, or bodyIdleTimeout without bytes of the body.
 };
 
 /* Returns the name of a result in log events. */
@@ -92,7 +92,7 @@
   std::uint64_t calls = 0;
   std::uint64_t connects = 0; ///< Attempts to open a connection.
   /* Times that a connection received data that belongs to no open request on it. */
-  std::uint64_t spoiled = 0;
+  std::uint64_t unsolicitedData = 0;
 };
 
 /* Sends requests and keeps the connections of completed calls for reuse. All calls and handlers run
@@ -108,7 +108,7 @@
   /* Starts a call. No handler is called before this function returns. */
   std::unique_ptr<Call> Start(const CallOptions& aOptions, CallHandlers aHandlers);
   /* Closes the idle connections to an address. */
-  void Forget(const std::string& aAddress);
+  void CloseIdleTo(const std::string& aAddress);
   /* Closes all idle connections. Calls in progress continue, but their connections are not kept. */
   void Close();
   ClientCounts counts() const;
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -46,7 +46,7 @@
     const bool isSingleCoding = std::next(first) == last;
     const auto coding = first->value();
     if (!isSingleCoding || !aIsChunked || aMessage.version() < 11 ||
-        !IsSameName({ coding.data(), coding.size() }, "chunked")) {
+        !EqualsIgnoringCase({ coding.data(), coding.size() }, "chunked")) {
       return false;
     }
   }
@@ -81,8 +81,8 @@
     , handler(std::move(aHandler))
     , listener(aContext,
                { .address = options.address },
-               { .onSocket = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
-                 .onFailure = [this] { CloseOneIdle(); } })
+               { .onConnection = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
+                 .onAcceptError = [this] { CloseOneIdle(); } })
   {
   }
 
@@ -197,7 +197,7 @@
 
   bool isClosing() const { return mState == State::kClosing || mState == State::kClosed; }
   std::size_t unsentBytes() const { return mSendBuffer.size() + mSendQueue.size(); }
-  void OnGone(std::function<void()> aHandler) { mOnClosed = std::move(aHandler); }
+  void OnClosed(std::function<void()> aHandler) { mOnClosed = std::move(aHandler); }
   void OnDrained(std::function<void()> aHandler) { mOnDrained = std::move(aHandler); }
 
   void Close()
@@ -321,7 +321,8 @@
     }
     SetTimer(mServer->limits.bodyTime);
     const auto expected = message[beast_http::field::expect];
-    if (!mParser->is_done() && IsSameName({ expected.data(), expected.size() }, "100-continue")) {
+    if (!mParser->is_done() &&
+        EqualsIgnoringCase({ expected.data(), expected.size() }, "100-continue")) {
       Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     return true;
@@ -509,7 +510,7 @@
   }
 }
 
-bool Server::IsQuiet() const
+bool Server::IsDrained() const
 {
   return std::all_of(
     mImpl->connections.begin(), mImpl->connections.end(), [](const ServerConnection* aItem) {
@@ -588,10 +589,10 @@
   return connection ? connection->unsentBytes() : 0;
 }
 
-void Responder::OnGone(std::function<void()> aHandler)
+void Responder::OnClosed(std::function<void()> aHandler)
 {
   if (const auto connection = mConnection.lock()) {
-    connection->OnGone(std::move(aHandler));
+    connection->OnClosed(std::move(aHandler));
   }
 }
 
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -42,7 +42,7 @@
 
   /* Sets the handler that is called if the connection closes, on either side, before Finish() or
    * Abort(). */
-  void OnGone(std::function<void()> aHandler);
+  void OnClosed(std::function<void()> aHandler);
   /* Sets the handler that is called, until the answer ends, each time that all bytes sent so far
    * have been written to the socket. */
   void OnDrained(std::function<void()> aHandler);
@@ -111,7 +111,7 @@
   /* Closes the connections on which no request has started to arrive. */
   void CloseIdle();
   /* Returns whether no connection has a request or unsent bytes. */
-  bool IsQuiet() const;
+  bool IsDrained() const;
   /* Stops listening and closes all connections. */
   void Close();
   ServerCounts counts() const;
--- a/src/http/http_type.cpp
+++ b/src/http/http_type.cpp
@@ -32,7 +32,7 @@
 {
   while (!aList.empty()) {
     const auto comma = aList.find(',');
-    if (IsSameName(Trim(aList.substr(0, comma)), aWord)) {
+    if (EqualsIgnoringCase(Trim(aList.substr(0, comma)), aWord)) {
       return true;
     }
     aList = comma == std::string_view::npos ? std::string_view{} : aList.substr(comma + 1);
@@ -48,7 +48,7 @@
 
 } // namespace
 
-bool IsSameName(std::string_view aLeft, std::string_view aRight)
+bool EqualsIgnoringCase(std::string_view aLeft, std::string_view aRight)
 {
   return std::equal(
     aLeft.begin(), aLeft.end(), aRight.begin(), aRight.end(), [](char aFirst, char aSecond) {
@@ -59,14 +59,14 @@
 std::optional<std::string_view> Find(const Fields& aFields, std::string_view aName)
 {
   for (const Field& field : aFields) {
-    if (IsSameName(field.name, aName)) {
+    if (EqualsIgnoringCase(field.name, aName)) {
       return field.value;
     }
   }
   return std::nullopt;
 }
 
-bool IsConnectionField(const Fields& aFields, std::string_view aName)
+bool IsHopByHopField(const Fields& aFields, std::string_view aName)
 {
   constexpr std::array<std::string_view, 10> kNames{ "Connection",
                                                      "Keep-Alive",
@@ -79,12 +79,12 @@
                                                      "Upgrade",
                                                      "Expect" };
   if (std::any_of(kNames.begin(), kNames.end(), [&](std::string_view aKnown) {
-        return IsSameName(aKnown, aName);
+        return EqualsIgnoringCase(aKnown, aName);
       })) {
     return true;
   }
   return std::any_of(aFields.begin(), aFields.end(), [&](const Field& aField) {
-    return IsSameName(aField.name, "Connection") && ListContains(aField.value, aName);
+    return EqualsIgnoringCase(aField.name, "Connection") && ListContains(aField.value, aName);
   });
 }
 
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -20,7 +20,7 @@
 using Fields = std::vector<Field>;
 
 /* Compares two names or tokens of header fields, ignoring ASCII case. */
-bool IsSameName(std::string_view aLeft, std::string_view aRight);
+bool EqualsIgnoringCase(std::string_view aLeft, std::string_view aRight);
 
 /* Returns the value of the first field with the given name, or nothing. The result is a view into
  * aFields. */
@@ -28,7 +28,7 @@
 
 /* Returns whether a field is hop-by-hop: valid for one connection only and not to be forwarded.
  * This includes the fields that a Connection field in aFields lists. */
-bool IsConnectionField(const Fields& aFields, std::string_view aName);
+bool IsHopByHopField(const Fields& aFields, std::string_view aName);
 
 struct Request
 {
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -32,20 +32,20 @@
         return;
       }
       if (aError) {
-        if (self->handlers.onFailure) {
-          self->handlers.onFailure();
+        if (self->handlers.onAcceptError) {
+          self->handlers.onAcceptError();
         }
         self->AcceptAfterDelay();
         return;
       }
-      self->handlers.onSocket(std::move(aSocket));
+      self->handlers.onConnection(std::move(aSocket));
       self->Accept();
     });
   }
 
   void AcceptAfterDelay()
   {
-    timer.expires_after(options.pause);
+    timer.expires_after(options.retryDelay);
     timer.async_wait([self = shared_from_this()](error_code aError) {
       if (!aError && !self->isClosed) {
         self->Accept();
@@ -73,7 +73,7 @@
 std::string Listener::Listen()
 {
   const std::string& address = mImpl->options.address;
-  const auto endpoint = ParseEndpoint(address);
+  const auto endpoint = ParseSocketAddress(address);
   if (!endpoint) {
     return "'" + address + "' is not an address";
   }
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -17,16 +17,17 @@
 
 struct ListenerOptions
 {
-  std::string address;   ///< IP:port
-  Duration pause = 20ms; ///< Time before the next attempt after a failed accept.
+  std::string address;        ///< IP:port
+  Duration retryDelay = 20ms; ///< Time before the next attempt after a failed accept.
 };
 
 struct ListenerHandlers
 {
-  std::function<void(boost::asio::ip::tcp::socket)> onSocket; ///< Receives an accepted connection.
+  std::function<void(boost::asio::ip::tcp::socket)>
+    onConnection; ///< Receives an accepted connection.
   /* Called when a connection could not be accepted, for example because no descriptor is free. May
    * close other connections to free one. May be null. */
-  std::function<void()> onFailure;
+  std::function<void()> onAcceptError;
 };
 
 /* A listening socket on the event loop. No handler is called after Close(). */
--- a/src/http/socket_options.cpp
+++ b/src/http/socket_options.cpp
@@ -22,7 +22,7 @@
   setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(int));
 }
 
-std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& aAddress)
+std::optional<boost::asio::ip::tcp::endpoint> ParseSocketAddress(const std::string& aAddress)
 {
   const auto colon = aAddress.rfind(':');
   if (colon == std::string::npos) {
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -26,7 +26,7 @@
 void SetSocketOptions(boost::asio::ip::tcp::socket& aSocket);
 
 /* Parses "IP:port". Returns nothing if the text is not valid; host names are not resolved. */
-std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& aAddress);
+std::optional<boost::asio::ip::tcp::endpoint> ParseSocketAddress(const std::string& aAddress);
 
 } // namespace rhubarbtrail::http
 
--- a/src/operator/admin_server.cpp
+++ b/src/operator/admin_server.cpp
@@ -167,7 +167,7 @@
   AdminHooks hooks;
   std::vector<AdminRoute> routes;
   httplib::Server server;
-  HttpServerThread thread{ server };
+  HttplibServerThread thread{ server };
 };
 
 /* Checks the key of a request and calls the handler if the key's role suffices. Logs the call for
--- a/src/operator/operator_commands.cpp
+++ b/src/operator/operator_commands.cpp
@@ -42,9 +42,9 @@
 }
 
 /* Prints why a call failed, with the error that the daemon answered, and returns the exit code. */
-int PrintError(const HttpAnswer& aAnswer)
+int PrintError(const HttplibAnswer& aAnswer)
 {
-  if (aAnswer.outcome != HttpOutcome::kAnswered) {
+  if (aAnswer.outcome != HttplibOutcome::kAnswered) {
     std::fputs("The daemon cannot be reached.\n", stderr);
     return kExitUnreachable;
   }
@@ -74,13 +74,13 @@
   return body.contains("errors") ? kExitBadInput : kExitRefused;
 }
 
-bool IsSuccess(const HttpAnswer& aAnswer)
+bool IsSuccess(const HttplibAnswer& aAnswer)
 {
-  return aAnswer.outcome == HttpOutcome::kAnswered && aAnswer.status == 200;
+  return aAnswer.outcome == HttplibOutcome::kAnswered && aAnswer.status == 200;
 }
 
 /* Prints the body of a successful answer or the error of a failed call. Returns the exit code. */
-int PrintAnswer(const HttpAnswer& aAnswer)
+int PrintAnswer(const HttplibAnswer& aAnswer)
 {
   if (!IsSuccess(aAnswer)) {
     return PrintError(aAnswer);
@@ -225,23 +225,23 @@
   release.add_option("fingerprint", mArgument, "Fingerprint, as listed.")->required();
 }
 
-HttpAnswer OperatorCommands::Call(const std::string& aMethod,
-                                  const std::string& aPath,
-                                  std::string aBody,
-                                  std::optional<std::uint64_t> aBasedOn) const
+HttplibAnswer OperatorCommands::Call(const std::string& aMethod,
+                                     const std::string& aPath,
+                                     std::string aBody,
+                                     std::optional<std::uint64_t> aBasedOn) const
 {
-  HttpCall call{ .address = mTarget.address,
-                 .method = aMethod,
-                 .path = aPath,
-                 .body = std::move(aBody),
-                 .contentType = "application/yaml",
-                 .headers = { { "Authorization", "Bearer " + mTarget.key } },
-                 .timeout = kCallTimeout };
+  HttplibCall call{ .address = mTarget.address,
+                    .method = aMethod,
+                    .path = aPath,
+                    .body = std::move(aBody),
+                    .contentType = "application/yaml",
+                    .headers = { { "Authorization", "Bearer " + mTarget.key } },
+                    .timeout = kCallTimeout };
   if (aBasedOn) {
     call.headers.emplace_back("If-Match", std::to_string(*aBasedOn));
     call.headers.emplace_back("X-Comment", mComment);
   }
-  return CallHttp(call);
+  return SendHttplibCall(call);
 }
 
 int OperatorCommands::Get(const std::string& aPath) const
@@ -251,7 +251,7 @@
 
 int OperatorCommands::Post(const std::string& aPath, std::string aBody) const
 {
-  const HttpAnswer answer = Call("POST", aPath, std::move(aBody));
+  const HttplibAnswer answer = Call("POST", aPath, std::move(aBody));
   if (!IsSuccess(answer)) {
     return PrintError(answer);
   }
@@ -292,7 +292,7 @@
   if (!document) {
     return kExitBadInput;
   }
-  const HttpAnswer answer = Call("POST", "/configuration/diff", *document);
+  const HttplibAnswer answer = Call("POST", "/configuration/diff", *document);
   if (!IsSuccess(answer)) {
     return PrintError(answer);
   }
@@ -309,7 +309,7 @@
 
 int OperatorCommands::ShowHistory() const
 {
-  const HttpAnswer answer = Call("GET", "/configuration/history");
+  const HttplibAnswer answer = Call("GET", "/configuration/history");
   if (!IsSuccess(answer)) {
     return PrintError(answer);
   }
@@ -326,7 +326,7 @@
 
 std::optional<std::uint64_t> OperatorCommands::NewestVersion() const
 {
-  const HttpAnswer answer = Call("GET", "/configuration/history?limit=1");
+  const HttplibAnswer answer = Call("GET", "/configuration/history?limit=1");
   if (!IsSuccess(answer)) {
     PrintError(answer);
     return std::nullopt;
@@ -357,7 +357,7 @@
                                      std::string aDocument,
                                      std::uint64_t aBasedOn) const
 {
-  const HttpAnswer answer = Call("POST", aPath, std::move(aDocument), aBasedOn);
+  const HttplibAnswer answer = Call("POST", aPath, std::move(aDocument), aBasedOn);
   if (!IsSuccess(answer)) {
     return PrintError(answer);
   }
@@ -371,7 +371,7 @@
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds{ mWaitSeconds };
   std::vector<std::string> outdatedDaemons;
   do {
-    const HttpAnswer answer = Call("GET", "/status");
+    const HttplibAnswer answer = Call("GET", "/status");
     if (!IsSuccess(answer)) {
       return PrintError(answer);
     }
@@ -407,7 +407,7 @@
   if (!newest) {
     return kExitRefused;
   }
-  const HttpAnswer answer = Call("GET", "/configuration?version=" + std::to_string(*newest));
+  const HttplibAnswer answer = Call("GET", "/configuration?version=" + std::to_string(*newest));
   if (!IsSuccess(answer)) {
     return PrintError(answer);
   }
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -51,10 +51,10 @@
 
   /* Calls the administration API. A value for aBasedOn makes it the call that changes the
    * configuration: the base version and the comment are sent as headers. */
-  HttpAnswer Call(const std::string& aMethod,
-                  const std::string& aPath,
-                  std::string aBody = {},
-                  std::optional<std::uint64_t> aBasedOn = std::nullopt) const;
+  HttplibAnswer Call(const std::string& aMethod,
+                     const std::string& aPath,
+                     std::string aBody = {},
+                     std::optional<std::uint64_t> aBasedOn = std::nullopt) const;
 
   /* The functions below print the result, or the error of a failed call, and return the exit
    * code. */
--- a/src/peer/fleet_link.cpp
+++ b/src/peer/fleet_link.cpp
@@ -57,7 +57,7 @@
 
   bool Submit(std::vector<std::uint8_t> aBytes)
   {
-    if (mIsEnded || !mConnection->Submit(std::move(aBytes), BootTime())) {
+    if (mIsEnded || !mConnection->Submit(std::move(aBytes), BootClockNow())) {
       return false;
     }
     Write();
@@ -160,11 +160,11 @@
     : context(aContext)
     , options(std::move(aOptions))
     , handlers(std::move(aHandlers))
-    , listener(
-        aContext,
-        { .address = options.address, .pause = kAcceptRetryDelay },
-        { .onSocket = [this](tcp::socket aSocket) { AddIncomingConnection(std::move(aSocket)); },
-          .onFailure = nullptr })
+    , listener(aContext,
+               { .address = options.address, .retryDelay = kAcceptRetryDelay },
+               { .onConnection =
+                   [this](tcp::socket aSocket) { AddIncomingConnection(std::move(aSocket)); },
+                 .onAcceptError = nullptr })
   {
   }
 
@@ -213,7 +213,7 @@
 {
   auto outgoing = std::make_shared<OutgoingConnection>(context);
   outgoingConnections[aAddress] = outgoing;
-  const auto endpoint = http::ParseEndpoint(aAddress);
+  const auto endpoint = http::ParseSocketAddress(aAddress);
   error_code error;
   if (endpoint) {
     outgoing->socket.open(endpoint->protocol(), error);
--- a/src/platform/request_headers.cpp
+++ b/src/platform/request_headers.cpp
@@ -79,13 +79,14 @@
 {
   return std::any_of(
     kDaemonOnlyFields.begin(), kDaemonOnlyFields.end(), [&](std::string_view aDaemonField) {
-      return http::IsSameName(aDaemonField, aName);
+      return http::EqualsIgnoringCase(aDaemonField, aName);
     });
 }
 
 bool IsFramingField(std::string_view aName)
 {
-  return http::IsSameName(aName, "Content-Length") || http::IsSameName(aName, "Transfer-Encoding");
+  return http::EqualsIgnoringCase(aName, "Content-Length") ||
+         http::EqualsIgnoringCase(aName, "Transfer-Encoding");
 }
 
 } // namespace
@@ -113,8 +114,8 @@
   forward.fields.reserve(aRequest.fields.size() + 4);
   for (const http::Field& item : aRequest.fields) {
     const bool isReplaced =
-      !aOptions.lastEventId.empty() && http::IsSameName(item.name, field::kLastEventId);
-    if (http::IsConnectionField(aRequest.fields, item.name) || IsFramingField(item.name) ||
+      !aOptions.lastEventId.empty() && http::EqualsIgnoringCase(item.name, field::kLastEventId);
+    if (http::IsHopByHopField(aRequest.fields, item.name) || IsFramingField(item.name) ||
         IsDaemonOnlyField(item.name) || isReplaced) {
       continue;
     }
@@ -145,7 +146,7 @@
   answer.isNotRun =
     http::Find(aHead.fields, field::kNotExecuted).has_value() || aHead.status == kMisdirected;
   const auto encoding = http::Find(aHead.fields, field::kContentEncoding);
-  answer.isEncoded = encoding && !http::IsSameName(*encoding, "identity");
+  answer.isEncoded = encoding && !http::EqualsIgnoringCase(*encoding, "identity");
   if (auto load = http::Find(aHead.fields, field::kLoad)) {
     const auto running = ParseInteger<std::uint32_t>(RemoveFirstItem(*load, ','));
     const auto waiting = ParseInteger<std::uint32_t>(RemoveFirstItem(*load, ','));
@@ -161,8 +162,8 @@
 {
   http::AnswerHead answer{ .status = aHead.status, .reason = aHead.reason };
   for (const http::Field& item : aHead.fields) {
-    if (http::IsConnectionField(aHead.fields, item.name) || IsFramingField(item.name) ||
-        http::IsSameName(item.name, field::kLoad)) {
+    if (http::IsHopByHopField(aHead.fields, item.name) || IsFramingField(item.name) ||
+        http::EqualsIgnoringCase(item.name, field::kLoad)) {
       continue;
     }
     answer.fields.push_back(item);
--- a/src/table/host_list_client.cpp
+++ b/src/table/host_list_client.cpp
@@ -9,9 +9,9 @@
 
 std::optional<HostListReceived> ReadHostList(const HostListClientOptions& aOptions)
 {
-  const HttpAnswer answer = CallHttp(
+  const HttplibAnswer answer = SendHttplibCall(
     { .address = aOptions.address, .path = "/hosts", .body = {}, .timeout = aOptions.timeout });
-  if (answer.outcome != HttpOutcome::kAnswered || answer.status != 200) {
+  if (answer.outcome != HttplibOutcome::kAnswered || answer.status != 200) {
     return std::nullopt;
   }
   try {
--- a/src/table/table_client.cpp
+++ b/src/table/table_client.cpp
@@ -71,12 +71,12 @@
   TransactionResult result{ .change = aTransaction.change,
                             .outcome = TransactionOutcome::kUnknown,
                             .rows = {} };
-  const HttpAnswer answer = CallHttp({ .address = mOptions.address,
-                                       .method = "POST",
-                                       .path = "/table/transaction",
-                                       .body = body.dump(),
-                                       .timeout = mOptions.timeout });
-  const bool hasOutcome = answer.outcome == HttpOutcome::kAnswered &&
+  const HttplibAnswer answer = SendHttplibCall({ .address = mOptions.address,
+                                                 .method = "POST",
+                                                 .path = "/table/transaction",
+                                                 .body = body.dump(),
+                                                 .timeout = mOptions.timeout });
+  const bool hasOutcome = answer.outcome == HttplibOutcome::kAnswered &&
                           (answer.status == kHttpOk || answer.status == kHttpConflict);
   if (!hasOutcome) {
     return result;
@@ -105,12 +105,12 @@
     body["keys"].push_back(key.str());
   }
   ReadResult result{ .read = aRead.read, .hasSucceeded = false, .rows = {} };
-  const HttpAnswer answer = CallHttp({ .address = mOptions.address,
-                                       .method = "POST",
-                                       .path = "/table/read",
-                                       .body = body.dump(),
-                                       .timeout = mOptions.timeout });
-  if (answer.outcome != HttpOutcome::kAnswered || answer.status != kHttpOk) {
+  const HttplibAnswer answer = SendHttplibCall({ .address = mOptions.address,
+                                                 .method = "POST",
+                                                 .path = "/table/read",
+                                                 .body = body.dump(),
+                                                 .timeout = mOptions.timeout });
+  if (answer.outcome != HttplibOutcome::kAnswered || answer.status != kHttpOk) {
     return result;
   }
   try {
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -81,7 +81,7 @@
   double lostAnswerProbability = 0.0; ///< For the answers to successful writes.
   std::mt19937 random{ 1 };
   std::string lastSender;
-  Fence lastFence;
+  FencingToken lastFence;
   TimePoint lastOrderAt{};
   std::vector<std::string> violations;
 
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -47,7 +47,7 @@
     : server(loop,
              { .address = "127.0.0.1:0" },
              [this](Request aRequest, std::shared_ptr<Responder> aResponder) {
-               aResponder->OnGone([this] { ++disconnectCount; });
+               aResponder->OnClosed([this] { ++disconnectCount; });
                requests.push_back(std::move(aRequest));
                responders.push_back(std::move(aResponder));
              })
@@ -142,7 +142,7 @@
       client.Start({ .address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()),
                      .request = { .method = "GET", .target = "/" },
                      .reuse = aReuse,
-                     .answerTime = 3s },
+                     .answerTimeout = 3s },
                    { .onHead =
                        [&](const AnswerHead& aHead) {
                          const auto id = Find(aHead.fields, "X-Id");
@@ -285,7 +285,7 @@
   fixture.server.CloseIdle();
   REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
   CHECK(fixture.server.counts().connections == 1);
-  CHECK_FALSE(fixture.server.IsQuiet());
+  CHECK_FALSE(fixture.server.IsDrained());
 }
 
 TEST_CASE("an aborted chunked answer has no final chunk")
--- a/tests/matrix/world.h
+++ b/tests/matrix/world.h
@@ -126,7 +126,7 @@
   std::optional<SimulatedTime> leavingSince;
   /* Earliest time at which a daemon can know that the endpoint is leaving. */
   std::optional<SimulatedTime> knownLeavingAt;
-  Fence highestFence; ///< Highest fencing token of the orders that it got.
+  FencingToken highestFence; ///< Highest fencing token of the orders that it got.
   std::map<ModelId, FakeModel> models;
   /* Outcomes of the orders to load or unload a model. A repeated order gets the same outcome. */
   std::map<OrderId, OrderOutcome> orderOutcomes;
--- a/tests/unit/admin_access_test.cpp
+++ b/tests/unit/admin_access_test.cpp
@@ -64,15 +64,15 @@
 
   int Call(const AdminRoute& aCall, const std::string& aAuthorization) const
   {
-    HttpCall call{ .address = "127.0.0.1:" + std::to_string(mPort),
-                   .method = aCall.method,
-                   .path = aCall.path,
-                   .body = aCall.method == "POST" ? "x" : "" };
+    HttplibCall call{ .address = "127.0.0.1:" + std::to_string(mPort),
+                      .method = aCall.method,
+                      .path = aCall.path,
+                      .body = aCall.method == "POST" ? "x" : "" };
     if (!aAuthorization.empty()) {
       call.headers.emplace_back("Authorization", aAuthorization);
     }
-    const HttpAnswer answer = CallHttp(call);
-    REQUIRE(answer.outcome == HttpOutcome::kAnswered);
+    const HttplibAnswer answer = SendHttplibCall(call);
+    REQUIRE(answer.outcome == HttplibOutcome::kAnswered);
     return answer.status;
   }
 
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -38,7 +38,8 @@
   for (int number = 0; number < 8; ++number) {
     threads.emplace_back([&metrics] {
       for (int sample = 0; sample < 500; ++sample) {
-        metrics.Note({ .code = ResultCode::kOk, .requestClass = ClassId{ "c" }, .latency = 10ms });
+        metrics.Record(
+          { .code = ResultCode::kOk, .requestClass = ClassId{ "c" }, .latency = 10ms });
         metrics.Count(Counter::kRetries);
       }
     });
