--- a/src/config/configuration_check.h
+++ b/src/config/configuration_check.h
@@ -6,8 +6,9 @@
 
 namespace rhubarbtrail {
 
-/* Adds an error to aReader for each reference to an unknown part, each model that does not fit into
- * a runner, and settings that contradict each other. aReader is the one that read the document. */
+/* Adds an error to aReader for each required part that is missing, reference to an unknown part,
+ * model that does not fit into a runner, route that is never reached, and setting that contradicts
+ * another one. aReader is the one that read the document. */
 void CheckConfiguration(DocumentReader& aReader, const Configuration& aConfiguration);
 
 } // namespace rhubarbtrail
--- a/src/config/configuration_document.h
+++ b/src/config/configuration_document.h
@@ -19,7 +19,7 @@
 };
 
 /* Parses and validates a document. aVersion becomes the version of the configuration. If the YAML
- * is invalid or its structure is not allowed, only that is reported. Otherwise, all errors are
+ * is invalid or CheckShape() finds errors, only these are reported. Otherwise, all errors are
  * returned at once, ordered by line. */
 tl::expected<Configuration, std::vector<DocumentError>> ParseConfiguration(
   const std::string& aDocument,
--- a/src/config/document_shape.cpp
+++ b/src/config/document_shape.cpp
@@ -1,4 +1,4 @@
-/* Checks the YAML structure of a document. */
+/* Checks the shape of a YAML document: its size, depth, aliases and number of documents. */
 #include "config/document_shape.h"
 
 #include <algorithm>
@@ -73,8 +73,8 @@
   std::vector<DocumentError> mErrors;
 };
 
-/* Returns whether the brackets and braces are nested deeper than allowed. Those in quoted texts and
- * comments are counted as well. */
+/* Returns whether brackets and braces are nested deeper than allowed. Those in quoted texts and
+ * comments are counted as well. Nesting by indentation is not counted. */
 bool HasDeepBrackets(const std::string& aDocument)
 {
   int depth = 0;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -79,7 +79,7 @@
   RcuPointer<Snapshot> mSnapshot;
   Snapshot mNextSnapshot; ///< Used only while an action is executed, so by one thread at a time.
   std::atomic<std::uint64_t> mConfigurationVersion{ 0 }; ///< Version of the configuration in force.
-  std::atomic<std::uint64_t> mNewestParsedVersion{ 0 };  ///< Its parsing may not have ended.
+  std::atomic<std::uint64_t> mNewestParsedVersion{ 0 };  ///< Newest whose parsing has begun.
   SessionMap mSessions;
   Metrics mMetrics;
   WorkerPool mTableThreads;
@@ -92,10 +92,11 @@
   AdminServer mAdminServer;
   std::thread mHostListThread;
   std::mutex mStopMutex;
-  std::condition_variable mStopChanged;
-  std::atomic<bool> mIsStopping{ false };
+  std::condition_variable mStopChanged;   ///< Wakes mHostListThread when mIsStopping is set.
+  std::atomic<bool> mIsStopping{ false }; ///< Ends mHostListThread, after the open requests.
+  /* The decision library has no request left and holds no lease. */
   std::atomic<bool> mIsShutdownComplete{ false };
-  std::atomic<bool> mIsDrainRequested{ false }; ///< An operator requested a drain.
+  std::atomic<bool> mIsDrainRequested{ false }; ///< An operator requested the shutdown.
 };
 
 NodeOptions MakeNodeOptions(const Settings& aSettings, const Incarnation& aSelf)
@@ -208,8 +209,9 @@
   }
 }
 
-/* Marks endpoints that the configuration drains, unless the host list reports them as leaving. The
- * decision library treats both in the same way, but a drain can be taken back. */
+/* Marks endpoints that the configuration drains, unless the host list reports them as leaving.
+ * Neither gets new work, but only a drained endpoint becomes live again when operators change the
+ * configuration. */
 void Daemon::MarkDrainedHosts(HostListReceived& aList) const
 {
   mSnapshot.Read([&](const Snapshot& aSnapshot) {
--- a/src/daemon/decision_loop.h
+++ b/src/daemon/decision_loop.h
@@ -15,7 +15,7 @@
 
 /* Applies events in the order in which they are posted. If no thread is applying events, the thread
  * that posts one applies the queued events itself, so that a request need not switch threads. It
- * includes the events that other threads post in the meantime, up to a limit. A separate thread
+ * also applies events that other threads post in the meantime, up to a limit. A separate thread
  * applies the rest, and the wake events that the node requests. */
 class DecisionLoop
 {
@@ -43,6 +43,8 @@
 private:
   void Run();
   bool CanApplyNow() const;
+  /* Applies at most aLimit queued events. aLock holds mMutex and is released while an event is
+   * applied. */
   void ApplyQueuedEvents(std::unique_lock<std::mutex>& aLock, std::size_t aLimit);
   void Apply(const Event& aEvent);
 
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -29,7 +29,7 @@
 
 namespace asio = boost::asio;
 
-/* Time between two flushes of the log, which also collect the metrics. */
+/* Time between two flushes of the log. The metrics are collected at the same times. */
 constexpr Duration kFlushInterval = 100ms;
 /* Time after the stop signal for which new requests are still accepted. The readiness check fails
  * from the signal on. The balancer makes it once per second and needs two failures before it sends
@@ -45,16 +45,18 @@
 constexpr Duration kShutdownCheckInterval = 50ms;
 /* Time between two "status" log lines. */
 constexpr Duration kStatusLogInterval = 10s;
-/* Time between two checks for runners whose missing entries now count as removed. After an outage
- * of the store, a missing entry does so only once a grace period is over. */
+/* Time between two checks for runners whose missing entries now count as removed. While the store
+ * is unreachable, and for a grace period afterwards, a missing entry does not count as removed,
+ * because it may return. */
 constexpr Duration kRunnerSweepInterval = 250ms;
 /* Minimum time between two watches of the runner table on a daemon that is not the dispatcher, as
  * a share of the drain limit. The rest of the limit is left for the call to the store. */
 constexpr double kRunnerWatchIntervalRatio = 0.6;
 /* Minimum time between two watches of the runner table on the dispatcher. */
 constexpr Duration kDispatcherRunnerWatchInterval = 300ms;
-/* Minimum of the limit on client connections. With more descriptors the limit is half of them, and
- * the other half is left for endpoints, the store, other daemons, files and listeners. */
+/* Lowest limit on client connections. With more than twice as many descriptors, the limit is half
+ * of the descriptors. The other half is left for endpoints, the store, other daemons, files and
+ * listeners. */
 constexpr std::size_t kMinConnectionLimit = 264;
 
 /* Returns the extra time that a host waits before it takes the order lease. A host with less than
@@ -67,8 +69,8 @@
   return aCpuShare >= kSufficientCores ? Duration::zero() : kLowCpuDelay;
 }
 
-/* Returns the loaded models of a runner for logs: their names, separated by commas. "+" and a
- * number follow the name of a model with loaded adapters. */
+/* Returns the loaded models of a runner for logs: their names, separated by commas. The name of a
+ * model with loaded adapters is followed by "+" and the number of these adapters. */
 std::string DescribeLoadedModels(const std::map<ModelId, std::set<AdapterId>>& aModels)
 {
   std::string names;
@@ -224,7 +226,8 @@
                                                 kRunnerWatchIntervalRatio);
   }
 
-  /* Passes on the settings that a reload can change and that other parts keep a copy of. */
+  /* Passes the settings that a reload can change, and the daemon count, to the parts that keep a
+   * copy of them. */
   void ApplySettings()
   {
     mGateway.retries.SetOptions({ .ratio = mSettings.decision.retryBudgetRatio,
@@ -576,8 +579,8 @@
     }
     const bool isQuiet =
       passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsDrained();
-    // The server must be quiet at two checks in a row, because the last bytes of an answer may
-    // still be in transit at the first one.
+    // The daemon must be idle at two checks in a row, because the last bytes of an answer may still
+    // be in transit at the first one.
     const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
     const bool isIdle = isQuiet && wasQuiet;
     const bool isLate = passed >= mSettings.edge.shutdownGrace - kExitMargin;
@@ -622,9 +625,9 @@
   asio::steady_timer mStopTimer;
   asio::steady_timer mSweepTimer;
   asio::steady_timer mStatusTimer;
-  std::uint32_t mDaemonCount = 1;
+  std::uint32_t mDaemonCount = 1; ///< Daemons known to the dispatcher, itself included.
   bool mIsStopping = false;
-  bool mWasQuiet = false;
+  bool mWasQuiet = false; ///< At the last check of a stopping daemon.
   TimePoint mShutdownStartedAt{};
   int mExitCode = kExitOk;
 };
--- a/src/operator/daemon_status.h
+++ b/src/operator/daemon_status.h
@@ -18,7 +18,8 @@
 /* Builds the status document from a snapshot and a state dump. */
 nlohmann::json MakeStatus(const Snapshot& aSnapshot, const std::vector<DumpEntry>& aDump);
 
-/* Formats a status document as text, with tables of daemons, cells, runners and endpoints. */
+/* Formats a status document as text: tables of other daemons, cells, runners and endpoints, and a
+ * line for each quarantined request. */
 std::string StatusToText(const nlohmann::json& aStatus);
 
 } // namespace rhubarbtrail
--- a/src/operator/operator_commands.h
+++ b/src/operator/operator_commands.h
@@ -34,7 +34,7 @@
     std::string key;     ///< Operator key that the call carries.
   };
 
-  /* Adds a subcommand that Run() executes with aRun if it was parsed. */
+  /* Adds a subcommand. Run() calls aRun if the subcommand was parsed. */
   CLI::App& AddCommand(CLI::App& aParent,
                        const std::string& aName,
                        const std::string& aHelp,
@@ -49,8 +49,8 @@
   void AddConfigCommands(CLI::App& aApp);
   void AddOperationCommands(CLI::App& aApp);
 
-  /* Calls the administration API. A value for aBasedOn makes it the call that changes the
-   * configuration: the base version and the comment are sent as headers. */
+  /* Calls the administration API. With aBasedOn, this version and the comment are sent as headers,
+   * as a change of the configuration requires. */
   HttplibAnswer Call(const std::string& aMethod,
                      const std::string& aPath,
                      std::string aBody = {},
--- a/src/platform/request_headers.h
+++ b/src/platform/request_headers.h
@@ -17,7 +17,7 @@
   std::string requestId;
   std::optional<Duration> timeLeft;     ///< Until the client's deadline. At most 24 h.
   std::optional<fleet::ModelWork> work; ///< Set if the request names a model.
-  std::string lastEventId;
+  std::string lastEventId; ///< Last event that the client has of a stream that it resumes.
 };
 
 /* Decodes a client's header fields. Invalid values are ignored, as if they were missing. */
@@ -27,10 +27,10 @@
 struct ForwardOptions
 {
   EndpointId endpoint;
-  Duration timeLeft{};
-  std::uint32_t priority = 0;
-  bool hasPriority = false;
-  std::string lastEventId; ///< Of a stream that is resumed. If empty, the client's field stays.
+  Duration timeLeft{};        ///< Until the request's deadline. At least 1 ms is sent.
+  std::uint32_t priority = 0; ///< Values above 9 are sent as 9.
+  bool hasPriority = false;   ///< The priority is sent.
+  std::string lastEventId;    ///< Of a stream that is resumed. If empty, the client's field stays.
 };
 
 /* Returns the request to send to an endpoint: the client's, with the given values added. Fields
--- a/src/platform/runner_decoder.cpp
+++ b/src/platform/runner_decoder.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/* Decodes MODEL/ADAPTER or MODEL/ADAPTER@VERSION, as adapters that are being loaded are listed. The
- * version is dropped. */
+/* Decodes one item of the list of adapters that are being loaded, which is MODEL/ADAPTER or
+ * MODEL/ADAPTER@VERSION. The version is dropped. */
 fleet::ModelRef DecodeLoadingAdapter(const std::string& aText)
 {
   const auto slash = aText.find('/');
@@ -79,6 +79,7 @@
   throw DecodeError("state is unknown: " + aState);
 }
 
+/* Returns the Unix time of the runner's start in milliseconds, or 0 if it is missing. */
 std::int64_t DecodeStartTime(const Json& aObject)
 {
   return static_cast<std::int64_t>(UnsignedMemberOr(aObject, "born", 0));
@@ -127,8 +128,8 @@
     if (document.contains("remainingMs")) {
       entry.timeUntilStop = FromMilliseconds(NumberMember(document, "remainingMs"));
     }
-    // "seq" is not read here. In an entry it counts the writes of the entry, and only in a report
-    // the accepted orders.
+    // "seq" is not read here. In an entry it counts the writes of the entry, but in a report it
+    // counts the accepted orders.
     entry.startedAtMs = DecodeStartTime(document);
     entry.holdings = DecodeHoldings(document);
     return entry;
--- a/src/settings/settings_base.h
+++ b/src/settings/settings_base.h
@@ -30,16 +30,21 @@
   std::string linkAddress;               ///< host:port for other daemons.
   std::string metricsAddress;            ///< host:port of metrics and the state dump. Empty: none.
   std::string storeAddress;              ///< host:port of the platform's store.
-  double cpuShare = 1.0;                 ///< Processor cores of the host, with decimals.
+  double cpuShare = 1.0;                 ///< Processor cores of the host, such as 0.25.
   std::uint32_t descriptorLimit = 1'024; ///< Files and sockets that may be open.
   Duration shutdownGrace = 8s;           ///< Time from SIGTERM to SIGKILL.
-  Duration drainLimit = 2s; ///< Time within which requests to a draining runner must stop.
-  Duration leaseSpacing =
-    3s; ///< Minimum time between orders of two successive holders to one runner.
+  /* Time after which a runner that starts to drain must get no more requests. */
+  Duration drainLimit = 2s;
+  /* Minimum time between orders to one runner from two successive holders of the order lease. */
+  Duration leaseSpacing = 3s;
   Duration retryWindow = 10s; ///< Time over which retries are counted.
-  double retrySlack = 50.0; ///< Retries per window that the whole fleet may make beyond the ratio.
+  /* Retries per window that the whole fleet may make in addition to those that
+   * DecisionSettings::retryBudgetRatio allows. */
+  double retrySlack = 50.0;
   Duration loadWindow = 5s; ///< Time over which loads from the weight store are counted.
-  double loadOverage = 1.0; ///< Factor on the configured load rate that is allowed over the window.
+  /* Load rate that the weight store allows over the window, as a multiple of the load rate that is
+   * configured for the service. */
+  double loadOverage = 1.0;
 };
 
 /* All settings of a daemon, with their default values. */
@@ -63,8 +68,10 @@
   std::uint32_t orderThreads = 16;
   std::uint64_t bodyLimit = 1U << 20U; ///< Bytes.
   Duration hostListInterval = 500ms;
-  Duration callTimeout = 2s;     ///< For one call to the platform or to a runner's order interface.
-  Duration shutdownLimit = 900s; ///< For open requests at shutdown. Deadlines may be up to 24 h.
+  Duration callTimeout = 2s; ///< For one call to the platform or to a runner's order interface.
+  /* Time for open requests to end at shutdown. After it the process exits, also if requests are
+   * open, whose deadlines can be up to 24 h away. */
+  Duration shutdownLimit = 900s;
   DecisionSettings decision;
   EdgeSettings edge;
 };
