--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -163,7 +163,13 @@
   const std::uint16_t caller = mCallerServer.Start();
   if (peer == 0 || admin == 0 || caller == 0) {
     Log(log_part::kDaemon)
-      ->error("A port for callers, operators or other daemons cannot be bound. The daemon exits.");
+      ->error(
+        "A port cannot be bound on {}, and the daemon exits. Bound ports: callers {}, operators "
+        "{}, other daemons {} (0: not bound).",
+        mSettings.listenAddress,
+        caller,
+        admin,
+        peer);
     return false;
   }
   WriteAddressFile(caller, admin, peer);
