--- a/src/config/configuration_document.cpp
+++ b/src/config/configuration_document.cpp
@@ -374,8 +374,8 @@
   configuration.version = aVersion;
   DocumentReader reader;
   try {
-    if (auto structureErrors = CheckShape(aDocument); !structureErrors.empty()) {
-      return tl::make_unexpected(std::move(structureErrors));
+    if (auto shapeErrors = CheckShape(aDocument); !shapeErrors.empty()) {
+      return tl::make_unexpected(std::move(shapeErrors));
     }
     ReadDocument(reader, YAML::Load(aDocument), configuration);
   } catch (const YAML::Exception& error) {
--- a/src/config/document_reader.cpp
+++ b/src/config/document_reader.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::size_t kMaxTextBytes = 1'024;
 constexpr std::int64_t kMaxDurationMs = 86'400'000;
-constexpr std::int64_t kMemoryLimitMb = 10'000'000;
+constexpr std::int64_t kMaxMemoryMb = 10'000'000;
 
 /* Returns the line of a node, counted from 1. A node without a position has line 1. */
 int LineOf(const YAML::Node& aNode)
@@ -152,7 +152,7 @@
 
 void DocumentReader::ReadMemory(const YAML::Node& aNode, const std::string& aPath, MemoryMb& aOut)
 {
-  ReadNumber<std::int64_t>(aNode, aPath, 1, kMemoryLimitMb, aOut.value);
+  ReadNumber<std::int64_t>(aNode, aPath, 1, kMaxMemoryMb, aOut.value);
 }
 
 void DocumentReader::ReadText(const YAML::Node& aNode, const std::string& aPath, std::string& aOut)
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -577,14 +577,14 @@
     if (passed >= mSettings.edge.shutdownGrace - kWaitingRequestMargin) {
       EndWaitingRequests(mGateway);
     }
-    const bool isQuiet =
+    const bool isIdle =
       passed >= kDeregistrationDelay && mGateway.openRequests.empty() && mClientServer.IsDrained();
     // The daemon must be idle at two checks in a row, because the last bytes of an answer may still
     // be in transit at the first one.
-    const bool wasQuiet = std::exchange(mWasQuiet, isQuiet);
-    const bool isIdle = isQuiet && wasQuiet;
-    const bool isLate = passed >= mSettings.edge.shutdownGrace - kExitMargin;
-    if (isIdle || isLate) {
+    const bool wasIdle = std::exchange(mWasIdle, isIdle);
+    const bool canExit = isIdle && wasIdle;
+    const bool mustExit = passed >= mSettings.edge.shutdownGrace - kExitMargin;
+    if (canExit || mustExit) {
       LogStatus();
       mLog.Write("stop",
                  { { "open_requests", mGateway.openRequests.size() },
@@ -627,7 +627,7 @@
   asio::steady_timer mStatusTimer;
   std::uint32_t mDaemonCount = 1; ///< Daemons known to the dispatcher, itself included.
   bool mIsStopping = false;
-  bool mWasQuiet = false; ///< At the last check of a stopping daemon.
+  bool mWasIdle = false; ///< At the last check of a stopping daemon.
   TimePoint mShutdownStartedAt{};
   int mExitCode = kExitOk;
 };
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -40,7 +40,7 @@
     { "model", aPlanned.model },
     { "messages", { { { "role", "user" }, { "content", "hello" } } } },
     { "max_tokens", aGroup.maxTokens },
-    { "stream", aGroup.stream },
+    { "stream", aGroup.isStreaming },
   };
   httplib::Request request;
   request.method = "POST";
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -20,7 +20,7 @@
   group.startSeconds = aNode["start"].as<double>(0.0);
   group.endSeconds = aNode["end"].as<double>(group.startSeconds);
   group.maxTokens = aNode["tokens"].as<std::uint32_t>(group.maxTokens);
-  group.stream = aNode["stream"].as<bool>(false);
+  group.isStreaming = aNode["stream"].as<bool>(false);
   return group;
 }
 
--- a/src/load/scenario.h
+++ b/src/load/scenario.h
@@ -27,7 +27,7 @@
   /* End of the steady rate, relative to the start of the run. */
   double endSeconds = 0;
   std::uint32_t maxTokens = 8; ///< Limit of the tokens in each answer.
-  bool stream = false;         ///< Whether answers are requested as streams of events.
+  bool isStreaming = false;    ///< Answers are requested as streams of events.
 };
 
 struct Scenario
--- a/src/operator/operator_keys.cpp
+++ b/src/operator/operator_keys.cpp
@@ -42,13 +42,13 @@
       return tl::make_unexpected("unknown key '" + name + "'");
     }
   }
-  std::string missingField;
+  std::string fieldError;
   OperatorKey key;
-  key.name = ReadRequiredField(aItem, "name", missingField);
-  key.hash = ReadRequiredField(aItem, "hash", missingField);
-  const auto role = sRoles.find(ReadRequiredField(aItem, "role", missingField));
-  if (!missingField.empty()) {
-    return tl::make_unexpected(missingField);
+  key.name = ReadRequiredField(aItem, "name", fieldError);
+  key.hash = ReadRequiredField(aItem, "hash", fieldError);
+  const auto role = sRoles.find(ReadRequiredField(aItem, "role", fieldError));
+  if (!fieldError.empty()) {
+    return tl::make_unexpected(fieldError);
   }
   if (role == sRoles.end()) {
     return tl::make_unexpected("role must be view, operate or configure");
