--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -32,8 +32,8 @@
 /* Time between two flushes of the log. The metrics are collected at the same times. */
 constexpr Duration kFlushInterval = 100ms;
 /* Time after the stop signal for which new requests are still accepted. The readiness check fails
- * from the signal on. The balancer makes it once per second and needs two failures before it sends
- * no more connections. */
+ * from the signal on. The balancer makes this check once per second, and only after two failures it
+ * sends no more connections. */
 constexpr Duration kDeregistrationDelay = 2'500ms;
 /* Time before the end of the grace period at which the process exits even if requests are open.
  * This way it exits by itself before it is killed. */
@@ -537,7 +537,8 @@
   }
 
   /* Reads the settings file again. Addresses and other values that are used only at the start
-   * change nothing until a restart. An invalid file is rejected as a whole. */
+   * change nothing until a restart, except that /state shows a new daemon_id at once. An invalid
+   * file is rejected as a whole. */
   void ReloadSettings()
   {
     auto settings = LoadSettings(mSettingsFile, SettingsUse::kEdge);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -29,6 +29,9 @@
   }
 }
 
+/* Each function below describes settings of one type. aAccess returns a reference to the member of
+ * Settings. Because it needs Settings that are not const, the value is formatted from a copy. */
+
 template<typename Access>
 SettingInfo TextSetting(std::string_view aName, Access aAccess, std::string_view aDescription)
 {
@@ -151,6 +154,7 @@
            } };
 }
 
+/* A function that returns a reference to a member of Settings. */
 #define FIELD(Member)                                                                              \
   [](Settings & aSettings) -> auto&                                                                \
   {                                                                                                \
