--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -124,6 +124,8 @@
   {
   }
 
+  /* Returns false, which ends the call, when the answer belongs to another request or the attempt
+   * is no longer active. */
   bool OnHead(const httplib::Response& aResponse)
   {
     mStatus = aResponse.status;
@@ -141,6 +143,8 @@
     return RecordProgress() && !mIsMismatched;
   }
 
+  /* Returns false, which ends the call, when the answer or an event is too large, the session
+   * rejects an event, or the attempt is no longer active. */
   bool OnData(std::string_view aBytes)
   {
     if (!RecordProgress()) {
--- a/src/endpoint/order_client.cpp
+++ b/src/endpoint/order_client.cpp
@@ -14,6 +14,7 @@
 
 using nlohmann::json;
 
+/* Names in the protocol, in the order of the enumerators of OrderKind. */
 constexpr std::array kOrderKindNames{ "inventory", "load_model", "unload_model", "load_adapter" };
 /* How long the engine may delay its answer to a status request while the order is running. */
 constexpr Duration kOrderStatusWait = 1s;
--- a/src/endpoint/order_client.h
+++ b/src/endpoint/order_client.h
@@ -9,8 +9,8 @@
 
 struct OrderClientOptions
 {
-  Duration timeout = 2s;
-  Incarnation issuer;
+  Duration timeout = 2s; ///< For the connect, and for each read and each write.
+  Incarnation issuer;    ///< The daemon process that sends the orders.
 };
 
 /* Sends an order. kAccepted means that the engine has accepted it and is still running it. */
--- a/src/endpoint/sse_splitter.h
+++ b/src/endpoint/sse_splitter.h
@@ -14,6 +14,7 @@
 /* Largest number of buffered bytes. A longer event makes Feed() fail, which ends the attempt. */
 constexpr std::size_t kEventSizeLimit = 1U << 20U;
 
+/* Recognises "\n\n" as the end of an event, but not "\r\n\r\n". */
 class SseSplitter
 {
 public:
--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -24,13 +24,14 @@
 
 struct FleetLinkOptions
 {
-  std::string address; ///< host:port to listen on.
-  /* A message without a response for longer closes its connection. */
+  std::string address; ///< IP:port to listen on.
+  /* An outgoing connection is closed when one of its messages has had no response for this time. */
   Duration responseTimeout = 1'200ms;
 };
 
 /* Keeps one outgoing HTTP/2 connection for each address that messages are sent to, and accepts the
- * connections of other daemons. Each message is one HTTP/2 stream. */
+ * connections of other daemons. Each message is one HTTP/2 stream. Messages travel only from the
+ * daemon that opened a connection to the one that accepted it. */
 class FleetLink
 {
 public:
@@ -43,13 +44,17 @@
 
   /* Starts to listen. Returns an error message, or an empty string on success. */
   std::string Listen();
-  /* Sends a message. Opens a connection if there is none, and queues the message until then. */
+  /* Sends a message to an address of the form IP:port. Opens a connection if there is none. While
+   * it is being established, up to 1,024 messages are queued for it and further ones are dropped.
+   */
   void Send(const std::string& aAddress, std::vector<std::uint8_t> aBytes);
-  /* Closes the connection to an address without calling onConnectionEnded. */
+  /* Closes the outgoing connection to an address without calling onConnectionEnded. Messages that
+   * are queued for it are dropped. */
   void Disconnect(const std::string& aAddress);
   /* Closes outgoing connections with a message that has had no response for longer than
    * responseTimeout. Must be called periodically. */
   void CloseOverdueConnections(TimePoint aNow);
+  /* Stops listening and closes all connections. No handler is called afterwards. */
   void Close();
 
 private:
--- a/src/peer/peer_connection.cpp
+++ b/src/peer/peer_connection.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/* Total size of the incomplete messages of one connection. The connection is closed beyond it,
- * which bounds the memory that a peer can make this daemon use. */
+/* Total size of the incomplete messages of one connection, in bytes. The connection is closed
+ * beyond it, which bounds the memory that a peer can make this daemon use. */
 constexpr std::size_t kIncompleteMessageBytesLimit = 8U << 20U;
 /* Open streams of one connection at a time. Each message without a response occupies one. */
 constexpr std::uint32_t kStreamLimit = 1'024;
--- a/src/peer/peer_connection.h
+++ b/src/peer/peer_connection.h
@@ -14,16 +14,19 @@
 
 namespace rhubarbtrail {
 
+/* The end of a connection that this daemon is. Only clients send messages, and only servers receive
+ * them. */
 enum class PeerRole : std::uint8_t
 {
-  kServer,
-  kClient,
+  kServer, ///< This daemon accepted the connection.
+  kClient, ///< This daemon opened the connection.
 };
 
 /* An nghttp2 session on a non-blocking socket. Owns the socket. Used by one thread only. */
 class PeerConnection
 {
 public:
+  /* Receives each complete message. Called on servers only. */
   using Receiver = std::function<void(const std::string& aBody)>;
 
   PeerConnection(int aSocket, PeerRole aRole, Receiver aReceiver);
@@ -48,6 +51,7 @@
   /* Returns whether a message was queued more than aLimit ago and has no response yet. */
   bool HasOverdueMessage(TimePoint aNow, Duration aLimit) const;
 
+  /* Bytes written to and read from the socket, including the framing of HTTP/2. */
   std::uint64_t sentBytes() const { return mSentBytes; }
   std::uint64_t receivedBytes() const { return mReceivedBytes; }
   /* Number of messages that were queued and have no response yet. */
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -15,15 +15,15 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  Duration responseTimeout =
-    1500ms; ///< A message without a response for longer closes the connection.
+  /* An outgoing connection is closed when one of its messages has had no response for this time. */
+  Duration responseTimeout = 1500ms;
 };
 
 struct PeerCounters
 {
-  std::uint64_t sentBytes = 0;
-  std::uint64_t receivedBytes = 0;
-  std::uint64_t sentMessages = 0;
+  std::uint64_t sentBytes = 0;     ///< Size of the messages counted in sentMessages.
+  std::uint64_t receivedBytes = 0; ///< Size of the received messages.
+  std::uint64_t sentMessages = 0;  ///< Messages queued on a connection, delivered or not.
   /* Messages that could not be queued on a connection, and those without a response when their
    * connection failed. Those of connections closed after responseTimeout are not counted. */
   std::uint64_t lostMessages = 0;
--- a/src/table/host_list_client.h
+++ b/src/table/host_list_client.h
@@ -11,8 +11,8 @@
 
 struct HostListClientOptions
 {
-  std::string address; ///< host:port
-  Duration timeout = 2s;
+  std::string address;   ///< host:port
+  Duration timeout = 2s; ///< For the connect, and for each read and each write.
 };
 
 /* Reads the host list. Returns nothing when the call fails, the status is not 200 or the body is
--- a/src/table/table_client.h
+++ b/src/table/table_client.h
@@ -11,8 +11,8 @@
 
 struct TableClientOptions
 {
-  std::string address; ///< host:port
-  Duration timeout = 2s;
+  std::string address;   ///< host:port
+  Duration timeout = 2s; ///< For the connect, and for each read and each write.
 };
 
 /* Makes blocking calls to the table service. May be used by several threads at once. */
@@ -21,11 +21,12 @@
 public:
   explicit TableClient(TableClientOptions aOptions);
 
-  /* Executes a transaction. Without a valid answer within the timeout the outcome is kUnknown. */
+  /* Executes a transaction. Without a valid answer the outcome is kUnknown, even if no connection
+   * could be opened. */
   TransactionResult Commit(const TableTransaction& aTransaction) const;
 
-  /* Reads rows. The result is ok only if the service returns a row for each key, in the order of
-   * the keys. A row that does not exist has version 0. */
+  /* Reads rows. The read has succeeded only if the service returns a row for each key, in the order
+   * of the keys. A row that does not exist has version 0. */
   ReadResult Read(const TableRead& aRead) const;
 
 private:
