--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -121,11 +121,12 @@
   End(aPart.finish->code);
 }
 
-/* Forwards the first part of the answer. The header of a stream with its status 200 is sent only
- * with the first event, so a refusal before that event still has its own status. */
+/* Forwards the first part of the answer. The head of a stream, which has status 200, is sent only
+ * together with the first event. A refusal before that event can thus have its own status. */
 void CallerExchange::ForwardFirstPart(const AnswerPart& aPart)
 {
-  // Without a stream event, an endpoint's error, a stored answer or a refusal is sent in one piece.
+  // A request for a stream that ends without an event gets its answer in one piece, too: an error
+  // of the endpoint, a stored answer or a refusal.
   const bool isBuffered =
     mSession->call().form == AnswerForm::kBuffered || mSession->delivered() == 0;
   if (aPart.finish && aPart.finish->code != ResultCode::kOk && (isBuffered || aPart.data.empty())) {
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -20,7 +20,7 @@
 {
   boost::asio::io_context& loop;
   SessionMap& sessions;
-  std::function<void(Event)> postEvent;
+  std::function<void(Event)> postEvent;              ///< Passes an event to the decision code.
   std::function<void(RequestSample)> onRequestEnded; ///< Called for each request that has ended.
 };
 
@@ -46,8 +46,9 @@
                  const FinishRequest& aFinish,
                  const std::string& aDetail = {});
 
-/* The handlers that it sets keep it alive until the request has ended. It runs on the thread of the
- * event loop, except ScheduleForwarding(), which the session calls from any thread. */
+/* Forwards the answer in one session to its caller. The handlers that Start() sets keep the
+ * exchange alive until the request has ended. All functions run on the thread of the event loop,
+ * except ScheduleForwarding(), which the session calls on any thread. */
 class CallerExchange : public std::enable_shared_from_this<CallerExchange>
 {
 public:
@@ -56,7 +57,8 @@
                  std::shared_ptr<Session> aSession,
                  std::shared_ptr<http::Responder> aResponder);
 
-  /* Starts to listen to the session and the caller's connection. */
+  /* Sets the handlers of the session and of the caller's connection, and forwards what the session
+   * already has. */
   void Start();
 
 private:
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -85,8 +85,8 @@
   std::thread thread;
 };
 
-/* Makes the answer to a request that could not be parsed or is too large, in the format of all
- * other refusals. */
+/* Makes the answer to a request that is malformed, too large or too slow, in the format of all
+ * other refusals. aStatus is the HTTP status of the default answer. */
 http::Rejection CallerServer::Impl::Rejection(unsigned aStatus)
 {
   constexpr unsigned kContentTooLarge = 413;
--- a/src/caller/caller_server.h
+++ b/src/caller/caller_server.h
@@ -17,15 +17,19 @@
 {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
-  std::uint32_t connectionLimit = 4'096;             ///< Idle connections are closed beyond it.
-  std::uint64_t bodyLimit = 1U << 20U;               ///< Bytes.
+  /* From this number on, each new connection closes an idle one, if there is one. */
+  std::uint32_t connectionLimit = 4'096;
+  std::uint64_t bodyLimit = 1U << 20U;               ///< Size of the body of a request, in bytes.
   std::string requestIdPrefix;                       ///< Makes request ids unique across processes.
   std::function<void(RequestSample)> onRequestEnded; ///< Called for each request that has ended.
 };
 
+/* Serves callers on an event loop with its own thread. Checks each request against the snapshot.
+ * For a valid one, adds a session and passes a RequestArrived event to the decision code. */
 class CallerServer
 {
 public:
+  /* aPost passes an event to the decision code. It is called on the thread of the event loop. */
   CallerServer(CallerServerOptions aOptions,
                const RcuPointer<Snapshot>& aSnapshot,
                SessionMap& aSessions,
--- a/src/caller/session.h
+++ b/src/caller/session.h
@@ -19,7 +19,7 @@
 /* How the caller receives the answer. */
 enum class AnswerForm : std::uint8_t
 {
-  kBuffered, ///< In one piece, once the request has ended.
+  kBuffered, ///< Non-streaming: in one piece, once the request has ended.
   kStream,   ///< As server-sent events, while they arrive.
 };
 
