--- a/src/core/event_log.h
+++ b/src/core/event_log.h
@@ -63,9 +63,9 @@
 {
   std::string daemon;                    ///< Written to each line.
   int descriptor = 1;                    ///< File descriptor of the output; 1 is standard output.
-  double linesPerSecond = 40.0;          ///< Long-term rate limit for lines of one event.
-  double burst = 200.0;                  ///< Lines of one event that may exceed the rate at once.
-  std::size_t bufferBytes = 256U << 10U; ///< Lines are dropped while this much waits for output.
+  double linesPerSecond = 40.0;          ///< Long-term rate limit of each event name.
+  double burst = 200.0;                  ///< Largest burst of lines of one event name.
+  std::size_t bufferBytes = 256U << 10U; ///< Lines are left out while this much waits for output.
 };
 
 /* Buffers lines and writes them when Flush() is called, as far as the output accepts them without
@@ -78,24 +78,24 @@
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /* Adds a line for an event. The line is left out if the event exceeds its rate limit, or if the
-   * buffer is full. The next line of the same event then has the number of lines left out as
-   * "left_out". */
+  /* Adds a line for the event with this name. The line is left out if the name exceeds its rate
+   * limit, or if the buffer is full. The next line with the same name then has the number of lines
+   * left out as "left_out". */
   void Write(std::string_view aEvent, std::initializer_list<LogField> aFields);
 
   /* Writes as many buffered bytes as the output accepts without blocking. */
   void Flush();
 
-  /* Returns the number of lines of all events that were left out so far, for either reason. */
+  /* Returns the total number of lines that were left out so far, for either reason. */
   std::uint64_t leftOut() const { return mLeftOut; }
 
 private:
-  /* Token bucket of one event: each line takes a token. */
+  /* Token bucket of one event name: each line takes a token. */
   struct TokenBucket
   {
     double tokens = 0.0;
     TimePoint refilledAt{};    ///< When the tokens were last refilled.
-    std::uint64_t leftOut = 0; ///< Lines left out since the last line of the event.
+    std::uint64_t leftOut = 0; ///< Lines left out since the last line with the name.
   };
 
   EventLogOptions mOptions;
--- a/src/core/httplib_server.h
+++ b/src/core/httplib_server.h
@@ -12,7 +12,7 @@
 
 namespace rhubarbtrail {
 
-/* Runs a server on its own thread. */
+/* Starts and stops a server, which must outlive this object. */
 class HttplibServerThread
 {
 public:
--- a/src/core/result_code_type.h
+++ b/src/core/result_code_type.h
@@ -1,4 +1,4 @@
-/* The numbered result codes, one of which every request ends with. docs/RESULT_CODES.md explains
+/* The numbered result codes. Every request ends with one of them. docs/RESULT_CODES.md explains
  * them. */
 #ifndef RHUBARBTRAIL_CORE_RESULT_CODE_TYPE_H
 #define RHUBARBTRAIL_CORE_RESULT_CODE_TYPE_H
--- a/src/core/unit_type.h
+++ b/src/core/unit_type.h
@@ -39,8 +39,8 @@
   }
 };
 
-/* A fencing token. Runners reject an order whose token is lower than one that they have seen, so
- * that a former lease holder can no longer give orders. */
+/* A fencing token. Runners that check it reject an order whose token is lower than one that they
+ * have seen, so that a former lease holder can no longer give orders. */
 struct FencingToken
 {
   std::uint64_t value = 0;
--- a/src/core/worker_pool.h
+++ b/src/core/worker_pool.h
@@ -25,7 +25,8 @@
   WorkerPool& operator=(const WorkerPool&) = delete;
 
   /* Queues a job. Jobs submitted after Stop() are dropped. The key names the peer that a job
-   * calls, so that the thread limit keeps a slow peer from occupying all threads. */
+   * calls, so that the thread limit keeps a slow peer from occupying all threads. The limit also
+   * applies to all jobs with an empty key together. */
   void Submit(std::function<void()> aJob, std::string aKey = {});
 
   /* Waits for the running jobs, drops the queued ones and joins the threads. */
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -28,7 +28,7 @@
 
 /* Largest size of the head of an answer, in bytes. */
 constexpr std::uint32_t kMaxHeadBytes = 64U << 10U;
-/* Largest number of answers to other requests that one call discards before it fails. */
+/* Largest number of answers to other requests that one call skips before it fails. */
 constexpr int kMaxSkippedAnswers = 3;
 /* Subtracted from the keep-alive timeout that an endpoint announces, so that the next request
  * arrives before the endpoint closes the connection. */
@@ -456,7 +456,7 @@
   bool mIsHeadRequest = false;
   bool mHasAnswerHead = false;    ///< The head of a final answer was received.
   bool mIsSkippingAnswer = false; ///< The current answer belongs to another request.
-  int mSkippedAnswers = 0;        ///< Discarded answers of the call.
+  int mSkippedAnswers = 0;        ///< Answers to other requests that the call has skipped.
   bool mIsPaused = false;
   bool mIsWriting = false;
 };
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -36,7 +36,9 @@
   kComplete,
   kNotConnected, ///< No connection could be opened in time, so no byte of the request was sent.
   kBroken,       ///< The connection ended before the end of the answer.
-  kMalformed,    ///< Not a valid HTTP answer, or too many answers to other requests.
+  /* Not a valid HTTP answer, or too many answers to other requests, or one such answer after which
+   * the endpoint closes the connection. */
+  kMalformed,
   kTimedOut, ///< answerTimeout passed without a head, or bodyIdleTimeout without bytes of the body.
 };
 
@@ -46,7 +48,7 @@
 struct CallHandlers
 {
   /* Receives the head of an answer. Returns false if the answer belongs to another request: the
-   * client then discards it and waits for the next answer on the connection. */
+   * client then skips it and waits for the next answer on the connection. */
   std::function<bool(const AnswerHead&)> onHead;
   /* Receives a part of the body, without the chunk framing. The bytes are valid during the call. */
   std::function<void(std::string_view)> onBody;
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -126,8 +126,8 @@
     WaitForBytes();
   }
 
-  /* Returns whether no request is in progress and no byte of one has arrived, also not in the
-   * buffer of the kernel. */
+  /* Returns whether no request is in progress, all answers are written, and no byte of the next
+   * request is in the receive buffer of this process or of the kernel. */
   bool isIdle() const
   {
     error_code error;
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -94,6 +94,7 @@
 class Server
 {
 public:
+  /* Receives a complete request, and the responder that sends its answer. */
   using Handler = std::function<void(Request, std::shared_ptr<Responder>)>;
 
   Server(boost::asio::io_context& aContext, ServerOptions aOptions, Handler aHandler);
--- a/src/http/http_type.cpp
+++ b/src/http/http_type.cpp
@@ -40,7 +40,6 @@
   return false;
 }
 
-/* Appends a header field. */
 void AppendField(std::string& aOut, std::string_view aName, std::string_view aValue)
 {
   aOut.append(aName).append(": ").append(aValue).append("\r\n");
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -23,8 +23,8 @@
 
 struct ListenerHandlers
 {
-  std::function<void(boost::asio::ip::tcp::socket)>
-    onConnection; ///< Receives an accepted connection.
+  /* Receives an accepted connection. */
+  std::function<void(boost::asio::ip::tcp::socket)> onConnection;
   /* Called when a connection could not be accepted, for example because no descriptor is free. May
    * close other connections to free one. May be null. */
   std::function<void()> onAcceptError;
