--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -161,12 +161,12 @@
 }
 
 void CallerExchange::SendBufferedAnswer(http::AnswerHead aHead,
-                                        const std::string& aType,
+                                        const std::string& aContentType,
                                         const std::string& aBody)
 {
   aHead.fields.push_back({ "X-Request-Id", mRecord.id.str() });
-  if (!aType.empty()) {
-    aHead.fields.push_back({ "Content-Type", aType });
+  if (!aContentType.empty()) {
+    aHead.fields.push_back({ "Content-Type", aContentType });
   }
   mResponder->Send(std::move(aHead), aBody);
 }
--- a/src/caller/caller_exchange.h
+++ b/src/caller/caller_exchange.h
@@ -67,7 +67,7 @@
   void ForwardPart(const AnswerPart& aPart);
   void ForwardFirstPart(const AnswerPart& aPart);
   void SendBufferedAnswer(http::AnswerHead aHead,
-                          const std::string& aType,
+                          const std::string& aContentType,
                           const std::string& aBody);
   void End(ResultCode aCode);
   void OnClosed();
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -40,12 +40,12 @@
   Impl(CallerServerOptions aOptions,
        const RcuPointer<Snapshot>& aSnapshot,
        SessionMap& aSessions,
-       std::function<void(Event)> aPost)
+       std::function<void(Event)> aPostEvent)
     : options(std::move(aOptions))
     , snapshot(aSnapshot)
     , context{ .loop = loop,
                .sessions = aSessions,
-               .postEvent = std::move(aPost),
+               .postEvent = std::move(aPostEvent),
                .onRequestEnded = options.onRequestEnded }
     , server(loop,
              { .address = options.address + ":" + std::to_string(options.port),
@@ -171,8 +171,8 @@
 CallerServer::CallerServer(CallerServerOptions aOptions,
                            const RcuPointer<Snapshot>& aSnapshot,
                            SessionMap& aSessions,
-                           std::function<void(Event)> aPost)
-  : mImpl(std::make_unique<Impl>(std::move(aOptions), aSnapshot, aSessions, std::move(aPost)))
+                           std::function<void(Event)> aPostEvent)
+  : mImpl(std::make_unique<Impl>(std::move(aOptions), aSnapshot, aSessions, std::move(aPostEvent)))
 {
 }
 
--- a/src/caller/caller_server.h
+++ b/src/caller/caller_server.h
@@ -29,11 +29,12 @@
 class CallerServer
 {
 public:
-  /* aPost passes an event to the decision code. It is called on the thread of the event loop. */
+  /* aPostEvent passes an event to the decision code. It is called on the thread of the event loop.
+   */
   CallerServer(CallerServerOptions aOptions,
                const RcuPointer<Snapshot>& aSnapshot,
                SessionMap& aSessions,
-               std::function<void(Event)> aPost);
+               std::function<void(Event)> aPostEvent);
   ~CallerServer();
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
--- a/src/endpoint/attempt.cpp
+++ b/src/endpoint/attempt.cpp
@@ -117,10 +117,10 @@
 class AnswerReader
 {
 public:
-  AnswerReader(Session& aSession, const StartAttempt& aStart, Duration aProgressTimeout)
+  AnswerReader(Session& aSession, const StartAttempt& aStart, Duration aReadTimeout)
     : mSession(aSession)
     , mStart(aStart)
-    , mProgressTimeout(aProgressTimeout)
+    , mReadTimeout(aReadTimeout)
   {
   }
 
@@ -132,7 +132,7 @@
     mContentType = aResponse.get_header_value("Content-Type");
     mRefusalReason = aResponse.get_header_value("X-Refusal");
     const std::string id = aResponse.get_header_value("X-Request-Id");
-    mIsMismatched = !id.empty() && id != mStart.request.str();
+    mIsForeignAnswer = !id.empty() && id != mStart.request.str();
     mIsStream = mSession.call().form == AnswerForm::kStream && mStatus == kHttpOk;
     // An engine that does not return the requested offset sends the stream from its beginning.
     const std::string offset = std::to_string(mStart.resumeOffset);
@@ -140,7 +140,7 @@
       aResponse.get_header_value("X-Resume-Offset") == offset ? mStart.resumeOffset : 0;
     mHasDefinedEnd = aResponse.has_header("Content-Length") || mStatus == kHttpNoContent ||
                      aResponse.get_header_value("Transfer-Encoding") == "chunked";
-    return RecordProgress() && !mIsMismatched;
+    return RecordProgress() && !mIsForeignAnswer;
   }
 
   /* Returns false, which ends the call, when the answer or an event is too large, the session
@@ -199,7 +199,7 @@
 private:
   AttemptOutcome DetermineOutcome(const httplib::Result& aResult) const
   {
-    if (mIsMismatched) {
+    if (mIsForeignAnswer) {
       return AttemptOutcome::kForeignAnswer;
     }
     if (!aResult) {
@@ -236,7 +236,7 @@
     if (!mSession.IsActive(mStart.attempt)) {
       return AttemptOutcome::kCancelled;
     }
-    if (std::chrono::steady_clock::now() - mLastProgressAt >= mProgressTimeout) {
+    if (std::chrono::steady_clock::now() - mLastProgressAt >= mReadTimeout) {
       return AttemptOutcome::kTimedOut;
     }
     return RefusesConnections(mStart.address) ? AttemptOutcome::kCrashed
@@ -253,7 +253,7 @@
 
   Session& mSession;
   const StartAttempt& mStart;
-  const Duration mProgressTimeout;
+  const Duration mReadTimeout;
   std::chrono::steady_clock::time_point mLastProgressAt = std::chrono::steady_clock::now();
   SseSplitter mSplitter;
   std::uint32_t mNextEventIndex = 0;
@@ -263,7 +263,7 @@
   std::string mBody;
   bool mIsStream = false;
   bool mIsEndMarkReceived = false;
-  bool mIsMismatched = false;
+  bool mIsForeignAnswer = false;
   bool mHasDefinedEnd = false; ///< The header gives the length, chunked framing or status 204.
 };
 
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -81,12 +81,12 @@
     , handler(std::move(aHandler))
     , listener(aContext,
                { .address = options.address },
-               { .onConnection = [this](tcp::socket aSocket) { OnSocket(std::move(aSocket)); },
+               { .onConnection = [this](tcp::socket aSocket) { OnConnection(std::move(aSocket)); },
                  .onAcceptError = [this] { CloseOneIdle(); } })
   {
   }
 
-  void OnSocket(tcp::socket aSocket);
+  void OnConnection(tcp::socket aSocket);
   void CloseOneIdle();
 
   asio::io_context& context;
@@ -455,7 +455,7 @@
   std::function<void()> mOnDrained;
 };
 
-void Server::Impl::OnSocket(tcp::socket aSocket)
+void Server::Impl::OnConnection(tcp::socket aSocket)
 {
   ++counts.accepted;
   if (counts.connections >= options.connectionLimit) {
--- a/src/peer/peer_connection.cpp
+++ b/src/peer/peer_connection.cpp
@@ -225,7 +225,7 @@
 {
   return std::any_of(mUnansweredMessages.begin(),
                      mUnansweredMessages.end(),
-                     [&](const auto& aItem) { return aNow - aItem.second.sentAt > aLimit; });
+                     [&](const auto& aItem) { return aNow - aItem.second.queuedAt > aLimit; });
 }
 
 } // namespace rhubarbtrail
--- a/src/peer/peer_connection.h
+++ b/src/peer/peer_connection.h
@@ -69,7 +69,7 @@
   {
     std::vector<std::uint8_t> body;
     std::size_t offset = 0;
-    TimePoint sentAt{};
+    TimePoint queuedAt{};
   };
 
   static ssize_t ReadMessageBody(nghttp2_session* aSession,
