--- a/src/caller/caller_server.h
+++ b/src/caller/caller_server.h
@@ -15,8 +15,8 @@
 
 struct CallerServerOptions
 {
-  std::string address = "127.0.0.1";
-  std::uint16_t port = 0;
+  std::string address = "127.0.0.1"; ///< IP address to listen on.
+  std::uint16_t port = 0;            ///< 0: the kernel chooses a port.
   /* From this number on, each new connection closes an idle one, if there is one. */
   std::uint32_t connectionLimit = 4'096;
   std::uint64_t bodyLimit = 1U << 20U;               ///< Size of the body of a request, in bytes.
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -30,8 +30,8 @@
 constexpr std::size_t kMaxSamplesPerStripe = 8'192;
 constexpr std::array kQuantiles{ 0.5, 0.95, 0.99 };
 
-/* Bounds of the latency buckets in seconds. They range from the latency of a plain call to the
- * longest deadline. */
+/* Bounds of the latency buckets in seconds. They range from the latency of a plain call to beyond
+ * the default deadline of 30 s. Longer latencies count only in the bucket "+Inf". */
 using LatencyAxis = boost::histogram::axis::variable<double>;
 const LatencyAxis kLatencyAxis{ 0.0, 0.005, 0.01, 0.025, 0.05, 0.1,  0.25,
                                 0.5, 1.0,   2.5,  5.0,   10.0, 20.0, 60.0 };
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -56,7 +56,7 @@
 struct ServerLimits
 {
   std::size_t headerBytes = 16U << 10U; ///< Size of the head of a request.
-  std::uint64_t bodyBytes = 4U << 20U;
+  std::uint64_t bodyBytes = 4U << 20U;  ///< Size of the body of a request.
   Duration headerTime = 3s; ///< From the first byte of a request to the end of its head.
   Duration bodyTime = 30s;  ///< From the end of the head to the end of the body.
   Duration idleTime = 15s;  ///< Before the first request and between requests.
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -61,8 +61,8 @@
  * fields for the framing, and "Connection: close" if aKeepsConnection is false. */
 std::string Serialize(const AnswerHead& aHead, bool aKeepsConnection);
 
-/* Returns a request with its body. Adds Content-Length, and Host from aHost if the request has
- * none. */
+/* Returns a request with its body. Adds Content-Length, except to a GET, HEAD, DELETE or OPTIONS
+ * request without a body, and adds Host from aHost if the request has no such field. */
 std::string Serialize(const Request& aRequest, std::string_view aHost);
 
 /* Returns one chunk of a chunked body. */
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,5 +1,5 @@
-/* A listening socket. When accepting fails, as without free descriptors, it tries again after a
- * short delay. */
+/* A listening socket. When accepting fails, for example because no descriptor is free, it tries
+ * again after a short delay. */
 #ifndef RHUBARBTRAIL_HTTP_LISTENER_H
 #define RHUBARBTRAIL_HTTP_LISTENER_H
 
--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -1,4 +1,5 @@
-/* Sends and receives the messages between the daemons of a fleet, on the event loop. */
+/* Sends and receives the messages between the daemons of a fleet, on the event loop. The transport
+ * with a thread of its own is in peer/peer_transport.h. */
 #ifndef RHUBARBTRAIL_PEER_FLEET_LINK_H
 #define RHUBARBTRAIL_PEER_FLEET_LINK_H
 
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -1,4 +1,5 @@
-/* Sends and receives the messages between daemons over HTTP/2, on a thread of its own. */
+/* Sends and receives the messages between daemons over HTTP/2, on a thread of its own. The
+ * transport on the event loop is in peer/fleet_link.h. */
 #ifndef RHUBARBTRAIL_PEER_PEER_TRANSPORT_H
 #define RHUBARBTRAIL_PEER_PEER_TRANSPORT_H
 
@@ -13,8 +14,8 @@
 
 struct PeerTransportOptions
 {
-  std::string address = "127.0.0.1";
-  std::uint16_t port = 0;
+  std::string address = "127.0.0.1"; ///< IPv4 address to listen on.
+  std::uint16_t port = 0;            ///< 0: the kernel chooses a port.
   /* An outgoing connection is closed when one of its messages has had no response for this time. */
   Duration responseTimeout = 1500ms;
 };
@@ -42,7 +43,8 @@
 
   /* Starts to listen and starts the thread. Returns the port, or 0 when listening fails. */
   std::uint16_t Start();
-  /* Queues a message for the transport's thread. May be called by any thread. */
+  /* Queues a message to an address of the form IPv4:port for the transport's thread. May be called
+   * by any thread. */
   void Send(const std::string& aAddress, const Envelope& aEnvelope);
   void Stop();
   PeerCounters counters() const;
