--- a/src/peer/fleet_link.h
+++ b/src/peer/fleet_link.h
@@ -46,8 +46,7 @@
   /* Starts to listen. Returns an error message, or an empty string on success. */
   std::string Listen();
   /* Sends a message to an address of the form IP:port. Opens a connection if there is none. While
-   * it is being established, up to 1,024 messages are queued for it and further ones are dropped.
-   */
+   * it is being established, up to 1,024 messages are queued and further ones are dropped. */
   void Send(const std::string& aAddress, std::vector<std::uint8_t> aBytes);
   /* Closes the outgoing connection to an address without calling onConnectionEnded. Messages that
    * are queued for it are dropped. */
