--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -121,11 +121,12 @@
   End(aPart.finish->code);
 }
 
-/* Forwards the first part of the answer. The header of a stream with its status 200 is sent only
- * with the first event, so a refusal before that event still has its own status. */
+/* Forwards the first part of the answer. The head of a stream, which has status 200, is sent only
+ * together with the first event. A refusal before that event can thus have its own status. */
 void CallerExchange::ForwardFirstPart(const AnswerPart& aPart)
 {
-  // Without a stream event, an endpoint's error, a stored answer or a refusal is sent in one piece.
+  // A request for a stream that ends without an event gets its answer in one piece, too: an error
+  // of the endpoint, a stored answer or a refusal.
   const bool isBuffered =
     mSession->call().form == AnswerForm::kBuffered || mSession->delivered() == 0;
   if (aPart.finish && aPart.finish->code != ResultCode::kOk && (isBuffered || aPart.data.empty())) {
@@ -160,12 +161,12 @@
 }
 
 void CallerExchange::SendBufferedAnswer(http::AnswerHead aHead,
-                                        const std::string& aType,
+                                        const std::string& aContentType,
                                         const std::string& aBody)
 {
   aHead.fields.push_back({ "X-Request-Id", mRecord.id.str() });
-  if (!aType.empty()) {
-    aHead.fields.push_back({ "Content-Type", aType });
+  if (!aContentType.empty()) {
+    aHead.fields.push_back({ "Content-Type", aContentType });
   }
   mResponder->Send(std::move(aHead), aBody);
 }
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -40,12 +40,12 @@
   Impl(CallerServerOptions aOptions,
        const RcuPointer<Snapshot>& aSnapshot,
        SessionMap& aSessions,
-       std::function<void(Event)> aPost)
+       std::function<void(Event)> aPostEvent)
     : options(std::move(aOptions))
     , snapshot(aSnapshot)
     , context{ .loop = loop,
                .sessions = aSessions,
-               .postEvent = std::move(aPost),
+               .postEvent = std::move(aPostEvent),
                .onRequestEnded = options.onRequestEnded }
     , server(loop,
              { .address = options.address + ":" + std::to_string(options.port),
@@ -85,8 +85,8 @@
   std::thread thread;
 };
 
-/* Makes the answer to a request that could not be parsed or is too large, in the format of all
- * other refusals. */
+/* Makes the answer to a request that is malformed, too large or too slow, in the format of all
+ * other refusals. aStatus is the HTTP status of the default answer. */
 http::Rejection CallerServer::Impl::Rejection(unsigned aStatus)
 {
   constexpr unsigned kContentTooLarge = 413;
@@ -171,8 +171,8 @@
 CallerServer::CallerServer(CallerServerOptions aOptions,
                            const RcuPointer<Snapshot>& aSnapshot,
                            SessionMap& aSessions,
-                           std::function<void(Event)> aPost)
-  : mImpl(std::make_unique<Impl>(std::move(aOptions), aSnapshot, aSessions, std::move(aPost)))
+                           std::function<void(Event)> aPostEvent)
+  : mImpl(std::make_unique<Impl>(std::move(aOptions), aSnapshot, aSessions, std::move(aPostEvent)))
 {
 }
 
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,5 +1,5 @@
-/* A listening socket. When accepting fails, as without free descriptors, it tries again after a
- * short delay. */
+/* A listening socket. When accepting fails, for example because no descriptor is free, it tries
+ * again after a short delay. */
 #ifndef RHUBARBTRAIL_HTTP_LISTENER_H
 #define RHUBARBTRAIL_HTTP_LISTENER_H
 
@@ -23,8 +23,8 @@
 
 struct ListenerHandlers
 {
-  std::function<void(boost::asio::ip::tcp::socket)>
-    onConnection; ///< Receives an accepted connection.
+  /* Receives an accepted connection. */
+  std::function<void(boost::asio::ip::tcp::socket)> onConnection;
   /* Called when a connection could not be accepted, for example because no descriptor is free. May
    * close other connections to free one. May be null. */
   std::function<void()> onAcceptError;
