--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The two commands a newcomer types are `make demo` and `make test`; each sets up what it needs.
+# Start with `make demo` or `make test`; each installs what it needs.
 
 JOBS ?= $(shell nproc)
 PYTHON ?= /usr/bin/python3
@@ -16,7 +16,7 @@
 
 all: build
 
-# Installs the Debian packages that are missing; silent when all are there.
+# Installs the Debian packages that are missing; prints nothing if all are installed.
 packages:
 	@dpkg -s $(PACKAGES) >/dev/null 2>&1 || \
 	  (echo "Installing packages ..." && $(SUDO) apt-get update -qq && \
@@ -31,7 +31,7 @@
 demo: build
 	@$(PYTHON) demo/run_demo.py
 
-# Everything that CI checks.
+# All checks of CI.
 test: build format-check lint unit process
 
 unit: build
@@ -41,13 +41,13 @@
 	@$(PYTHON) tests/process/run.py
 	@$(PYTHON) tests/edge/soak.py --seed 1 --seconds 8
 
-# A long random run of the fault matrix, bounded in time.
+# Random scenarios of the fault matrix, for MINUTES.
 SEED ?= 1
 MINUTES ?= 1
 soak: build
 	@SEED=$(SEED) MINUTES=$(MINUTES) $(BUILD)/unit_tests --no-skip --test-case="matrix: soak"
 
-# A randomized soak of real processes with faults from outside.
+# A soak test of real processes with random faults from outside, for SECONDS.
 SECONDS ?= 30
 fault-soak: build
 	@$(PYTHON) tests/edge/soak.py --seed $(SEED) --seconds $(SECONDS)
@@ -66,7 +66,7 @@
 	@$(MAKE) unit BUILD=build-asan CMAKE_FLAGS="-DSANITIZE=address,undefined -DCMAKE_BUILD_TYPE=Debug"
 	@$(MAKE) unit BUILD=build-tsan CMAKE_FLAGS="-DSANITIZE=thread -DCMAKE_BUILD_TYPE=Debug"
 
-# A bounded run; the seed is fixed and printed by the fuzzer.
+# Fuzzes for FUZZ_SECONDS; the seed is fixed, and the fuzzer prints it.
 FUZZ_SECONDS ?= 60
 fuzz: packages
 	@cmake -S . -B build-fuzz -G Ninja -DFUZZ=ON -DCMAKE_CXX_COMPILER=clang++ >/dev/null
@@ -75,11 +75,11 @@
 	@build-fuzz/parsers_fuzz -seed=1 -max_total_time=$(FUZZ_SECONDS) -timeout=10 -rss_limit_mb=1024 \
 	  -max_len=4096 -artifact_prefix=build-fuzz/ build-fuzz/corpus fuzz/corpus
 
-# Measures the slopes of docs/CAPACITY.md again.
+# Repeats the measurements of the section Slopes of docs/CAPACITY.md.
 capacity: build
 	@$(BUILD)/capacity_bench
 
-# Measures the keep-alive policies of docs/MEASUREMENTS.md again.
+# Repeats the measurements of the keep-alive policies in docs/MEASUREMENTS.md.
 policies: build
 	@$(BUILD)/policy_bench --weights 0.5 1 2 4 --threads 2
 
