--- a/src/caller/caller_exchange.cpp
+++ b/src/caller/caller_exchange.cpp
@@ -69,7 +69,7 @@
 void CallerExchange::Start()
 {
   mResponder->OnClosed([self = shared_from_this()] { self->OnClosed(); });
-  mResponder->OnDrained([self = shared_from_this()] { self->ForwardAvailableParts(); });
+  mResponder->OnSendBufferEmpty([self = shared_from_this()] { self->ForwardAvailableParts(); });
   mSession->SetListener([self = shared_from_this()] { self->ScheduleForwarding(); });
   ForwardAvailableParts();
 }
@@ -175,7 +175,7 @@
 {
   mIsEnded = true;
   mResponder->OnClosed(nullptr);
-  mResponder->OnDrained(nullptr);
+  mResponder->OnSendBufferEmpty(nullptr);
   mSession->SetListener(nullptr);
   mContext.sessions.Remove(mSession->id());
   RecordRequestEnd(mContext, mRecord, aCode);
--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -58,9 +58,9 @@
   {
     server.SetLimits({ .headerBytes = kHeaderLimit,
                        .bodyBytes = options.bodyLimit,
-                       .headerTime = kRequestTimeout,
-                       .bodyTime = kRequestTimeout,
-                       .idleTime = kIdleTimeout });
+                       .headerTimeout = kRequestTimeout,
+                       .bodyTimeout = kRequestTimeout,
+                       .idleTimeout = kIdleTimeout });
   }
 
   RequestId NextRequestId()
--- a/src/daemon/edge_daemon.cpp
+++ b/src/daemon/edge_daemon.cpp
@@ -348,8 +348,8 @@
                  { "row_version", aRow.version.value } });
     mClientServer.SetLimits({ .headerBytes = decoded->limits.headerBytes,
                               .bodyBytes = decoded->limits.bodyBytes,
-                              .headerTime = decoded->limits.headerTime,
-                              .idleTime = decoded->limits.idleTime });
+                              .headerTimeout = decoded->limits.headerTimeout,
+                              .idleTimeout = decoded->limits.idleTimeout });
     mGateway.configuration = std::make_shared<const fleet::FleetConfiguration>(std::move(*decoded));
     mDispatcher.SetConfiguration(mGateway.configuration);
     mMember.OnDispatcherInputChanged();
--- a/src/decision/fleet/fleet_configuration_type.h
+++ b/src/decision/fleet/fleet_configuration_type.h
@@ -87,8 +87,8 @@
 {
   std::uint32_t headerBytes = 16'384;
   std::uint64_t bodyBytes = 4U << 20U;
-  Duration headerTime = 3s; ///< From the first byte of a request to the end of its header.
-  Duration idleTime = 15s;  ///< Between two requests on a connection.
+  Duration headerTimeout = 3s; ///< From the first byte of a request to the end of its header.
+  Duration idleTimeout = 15s;  ///< Between two requests on a connection.
 };
 
 struct FleetConfiguration
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -150,7 +150,7 @@
   mDeadlineTimer.cancel();
   mWaitTimer.cancel();
   mResponder->OnClosed(nullptr);
-  mResponder->OnDrained(nullptr);
+  mResponder->OnSendBufferEmpty(nullptr);
   mContext.metrics.Record(
     { .code = aCode, .requestClass = RequestClassOf(mRoute), .latency = now - mArrivedAt });
   mContext.log.Write(
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -458,7 +458,7 @@
   ForwardEvents();
   if (mResponder->unsentBytes() > kUnsentBytesLimit && mAttempt.call) {
     mAttempt.call->Pause();
-    mResponder->OnDrained([weak = weak_from_this()] {
+    mResponder->OnSendBufferEmpty([weak = weak_from_this()] {
       if (const auto self = weak.lock(); self && self->mAttempt.call) {
         self->mAttempt.call->Resume();
       }
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -122,7 +122,7 @@
   void Start()
   {
     SetSocketOptions(mSocket); // If the socket is broken already, the first read fails.
-    SetTimer(mServer->limits.idleTime);
+    SetTimer(mServer->limits.idleTimeout);
     WaitForBytes();
   }
 
@@ -173,7 +173,7 @@
       return;
     }
     mState = State::kReading;
-    SetTimer(mServer->limits.idleTime);
+    SetTimer(mServer->limits.idleTimeout);
     // Posted to the event loop, so that the caller of Finish() returns before the next request
     // starts.
     asio::post(mServer->context, [self = shared_from_this()] {
@@ -198,7 +198,10 @@
   bool isClosing() const { return mState == State::kClosing || mState == State::kClosed; }
   std::size_t unsentBytes() const { return mSendBuffer.size() + mSendQueue.size(); }
   void OnClosed(std::function<void()> aHandler) { mOnClosed = std::move(aHandler); }
-  void OnDrained(std::function<void()> aHandler) { mOnDrained = std::move(aHandler); }
+  void OnSendBufferEmpty(std::function<void()> aHandler)
+  {
+    mOnSendBufferEmpty = std::move(aHandler);
+  }
 
   void Close()
   {
@@ -214,7 +217,7 @@
       --mServer->counts.openRequests;
       auto onClosed = std::move(mOnClosed);
       mOnClosed = nullptr;
-      mOnDrained = nullptr;
+      mOnSendBufferEmpty = nullptr;
       if (onClosed) {
         onClosed();
       }
@@ -234,7 +237,7 @@
   {
     --mServer->counts.openRequests;
     mOnClosed = nullptr;
-    mOnDrained = nullptr;
+    mOnSendBufferEmpty = nullptr;
   }
 
   void WaitForBytes()
@@ -283,7 +286,7 @@
       mParser->header_limit(static_cast<std::uint32_t>(mServer->limits.headerBytes));
       mParser->body_limit(mServer->limits.bodyBytes);
       mHasRequestHead = false;
-      SetTimer(mServer->limits.headerTime);
+      SetTimer(mServer->limits.headerTimeout);
     }
     error_code error;
     const std::size_t used = mParser->put(asio::buffer(mReceiveBuffer), error);
@@ -319,7 +322,7 @@
       Reject(400);
       return false;
     }
-    SetTimer(mServer->limits.bodyTime);
+    SetTimer(mServer->limits.bodyTimeout);
     const auto expected = message[beast_http::field::expect];
     if (!mParser->is_done() &&
         EqualsIgnoringCase({ expected.data(), expected.size() }, "100-continue")) {
@@ -400,8 +403,8 @@
       }
       return;
     }
-    if (mState == State::kAnswering && mOnDrained) {
-      mOnDrained();
+    if (mState == State::kAnswering && mOnSendBufferEmpty) {
+      mOnSendBufferEmpty();
     }
   }
 
@@ -452,7 +455,7 @@
   std::string mSendQueue;     ///< To be written after mSendBuffer.
   std::string mSendBuffer;    ///< Being written to the socket.
   std::function<void()> mOnClosed;
-  std::function<void()> mOnDrained;
+  std::function<void()> mOnSendBufferEmpty;
 };
 
 void Server::Impl::OnConnection(tcp::socket aSocket)
@@ -596,10 +599,10 @@
   }
 }
 
-void Responder::OnDrained(std::function<void()> aHandler)
+void Responder::OnSendBufferEmpty(std::function<void()> aHandler)
 {
   if (const auto connection = mConnection.lock()) {
-    connection->OnDrained(std::move(aHandler));
+    connection->OnSendBufferEmpty(std::move(aHandler));
   }
 }
 
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -45,7 +45,7 @@
   void OnClosed(std::function<void()> aHandler);
   /* Sets the handler that is called, until the answer ends, each time that all bytes sent so far
    * have been written to the socket. */
-  void OnDrained(std::function<void()> aHandler);
+  void OnSendBufferEmpty(std::function<void()> aHandler);
 
 private:
   std::weak_ptr<ServerConnection> mConnection;
@@ -57,9 +57,9 @@
 {
   std::size_t headerBytes = 16U << 10U; ///< Size of the head of a request.
   std::uint64_t bodyBytes = 4U << 20U;  ///< Size of the body of a request.
-  Duration headerTime = 3s; ///< From the first byte of a request to the end of its head.
-  Duration bodyTime = 30s;  ///< From the end of the head to the end of the body.
-  Duration idleTime = 15s;  ///< Before the first request and between requests.
+  Duration headerTimeout = 3s; ///< From the first byte of a request to the end of its head.
+  Duration bodyTimeout = 30s;  ///< From the end of the head to the end of the body.
+  Duration idleTimeout = 15s;  ///< Before the first request and between requests.
 };
 
 /* The answer to a request that is malformed, too large or too slow. */
--- a/src/platform/configuration_decoder.cpp
+++ b/src/platform/configuration_decoder.cpp
@@ -102,10 +102,10 @@
     .headerBytes =
       static_cast<std::uint32_t>(UnsignedMemberOr(aLimits, "maxHeaderBytes", defaults.headerBytes)),
     .bodyBytes = UnsignedMemberOr(aLimits, "maxBodyBytes", defaults.bodyBytes),
-    .headerTime = FromMilliseconds(NumberMemberOr(
-      aLimits, "headerTimeoutMs", static_cast<double>(defaults.headerTime.count()) / 1e3)),
-    .idleTime = FromMilliseconds(NumberMemberOr(
-      aLimits, "idleTimeoutMs", static_cast<double>(defaults.idleTime.count()) / 1e3)),
+    .headerTimeout = FromMilliseconds(NumberMemberOr(
+      aLimits, "headerTimeoutMs", static_cast<double>(defaults.headerTimeout.count()) / 1e3)),
+    .idleTimeout = FromMilliseconds(NumberMemberOr(
+      aLimits, "idleTimeoutMs", static_cast<double>(defaults.idleTimeout.count()) / 1e3)),
   };
 }
 
