--- a/src/decision/fleet/dispatch_type.h
+++ b/src/decision/fleet/dispatch_type.h
@@ -33,14 +33,16 @@
   ServiceId service;
   ModelWork work;
   std::uint32_t priority = 0;
-  Duration
-    latencyObjective{}; ///< Time from now to the first event that meets the route's latency goal.
-  Duration timeLeft{};  ///< Time from now until the client gives up.
+  /* Time within which the first event meets the route's latency objective. This and timeLeft count
+   * from when the message was first sent. */
+  Duration latencyObjective{};
+  /* Time until the request's deadline or until the client gives up, whichever is earlier. */
+  Duration timeLeft{};
   bool isResumable = false;
   std::vector<EndpointId> failedRunners; ///< Runners where an attempt failed or was refused.
 };
 
-/* The runner to which the daemon may send the request now. */
+/* The request is assigned to this runner, and the daemon may send it there now. */
 struct RunnerAssigned
 {
   EndpointId runner;
@@ -79,8 +81,8 @@
 {
   PlacementRequestId id;
   AssignmentEnd end = AssignmentEnd::kDone;
-  Duration
-    timeToFirstEvent{}; ///< From sending the request to its first event. 0 if there was none.
+  /* From sending the request to the runner to its first event. 0 if there was none. */
+  Duration timeToFirstEvent{};
 };
 
 /* Tells a new dispatcher about an assignment that is already in use. */
--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -49,7 +49,8 @@
   }
 }
 
-/* Called once per service and configuration, since planning needs the result for every runner. */
+/* Called once per service when a configuration is set, since planning needs the result for every
+ * runner. */
 WeightMemory Dispatcher::WeightMemoryOf(const Engine& aEngine)
 {
   WeightMemory memory{ .smallestModel = aEngine.weights };
@@ -111,6 +112,8 @@
   mNextTickAt = std::min(mNextTickAt, aTime);
 }
 
+/* Replaces everything known about a runner by its entry and drops its assignments and its swap,
+ * because the runner is new, was restarted, or has another address or service. */
 void Dispatcher::ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry)
 {
   aRunner = {};
@@ -154,6 +157,8 @@
   }
 }
 
+/* Replaces the assumed holdings by those of an entry or report. Times of use and counts of requests
+ * in flight are kept for what is still held. */
 void Dispatcher::AdoptHoldings(TimePoint aNow,
                                ManagedRunner& aRunner,
                                const RunnerHoldings& aHoldings)
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -72,7 +72,7 @@
   std::map<AdapterId, HeldAdapter> adapters;
   TimePoint lastUsed{};
   std::uint32_t inFlight = 0;
-  bool isLeaving = false; ///< Will be unloaded for a planned swap. Gets no more requests.
+  bool isLeaving = false; ///< A planned swap will unload the model. It gets no more requests.
   /* Cached result of RetentionValue(), in seconds, and when it was computed. */
   mutable double retentionValue = 0.0;
   mutable TimePoint retentionValueAt{};
@@ -144,6 +144,8 @@
   EndpointHealth health;
 };
 
+/* The dispatcher's state and decisions. Events are passed in, and Tick() returns the actions that
+ * follow from them. Only a daemon with order permission sends orders and requests reports. */
 class Dispatcher
 {
 public:
@@ -259,8 +261,8 @@
 
   // dispatcher_plan.cpp
   void RunPlanningRound(TimePoint aNow);
-  /* Plans a replica at the runner where it costs least, unless it costs more than the benefit.
-   * Returns whether a swap was planned. */
+  /* Plans a replica at the runner where it costs least, unless it costs more than the benefit. Cost
+   * and benefit are seconds of caller delay. Returns whether a swap was planned. */
   bool PlanSwap(TimePoint aNow,
                 const ServiceId& aService,
                 const ModelId& aModel,
--- a/src/decision/fleet/dispatcher_order.cpp
+++ b/src/decision/fleet/dispatcher_order.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/* Pause before the next order after a conflict, and after a rejection or a fenced order. */
+/* Pause before the next order after a conflict, and after a rejection or a fenced order. The first
+ * is also the delay until an adapter load that the runner cannot get yet is tried again. */
 constexpr Duration kConflictPause = 50ms;
 constexpr Duration kRejectionPause = 1s;
 /* Pause between reports while a change is awaited. Reports are some hundred milliseconds old. Also
@@ -33,9 +34,10 @@
 /* Margin added to the duration of a load before it counts as done without a report. The runner
  * starts the load before its answer arrives here, so the margin only covers its rounding. */
 constexpr Duration kPresumedDoneMargin = 20ms;
-/* A weight store load counts as slowed when it takes longer than this factor times its expected
- * duration plus the report lag. The estimate of the loads that run at full speed grows by the step
- * when a load was not slowed while at least as many ran, up to the maximum. */
+/* A weight store load counts as slowed when it takes longer than this factor times the sum of its
+ * expected duration and the report lag. The estimated number of concurrent loads at full speed
+ * grows by the step when a load was not slowed although at least that number ran, up to the
+ * maximum. */
 constexpr double kSlowLoadFactor = 1.3;
 constexpr double kStoreConcurrencyStep = 0.25;
 constexpr double kMaxStoreConcurrency = 16.0;
@@ -311,6 +313,7 @@
   DropOrder(aRunner);
 }
 
+/* Treats the pending model order as carried out: removes it and updates the assumed holdings. */
 void Dispatcher::FinishOrder(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *std::exchange(aRunner.order, std::nullopt);
@@ -334,7 +337,8 @@
                 .count = aRunner.orderCount });
 }
 
-/* Load pattern: many models swapped in from the runners' disks. Such loads take as long as
+/* Treats model loads from a runner's disk or host memory as done once the load time from disk has
+ * passed. Load pattern: many models swapped in from the runners' disks. Such loads take as long as
  * configured, and reports are some hundred milliseconds old, so waiting for a report would delay
  * callers. */
 void Dispatcher::PresumeLoads(TimePoint aNow)
@@ -361,7 +365,8 @@
   }
 }
 
-/* Called when a runner refuses a request: a load of the model that was presumed done is not. */
+/* Called when a runner refuses a request. A load of the model that was presumed done counts as in
+ * progress again. */
 void Dispatcher::RevokePresumedLoad(ManagedRunner& aRunner, const ModelId& aModel)
 {
   if (aRunner.order && aRunner.order->isPresumedDone &&
@@ -524,9 +529,9 @@
     }));
 }
 
-/* Load pattern: many cold models at once. Beyond some number of concurrent loads, each takes
- * proportionally longer, so that further loads only delay all of them. The number is estimated from
- * how long loads take. */
+/* Adjusts the estimated number of concurrent weight store loads at full speed by how long a load
+ * took. Load pattern: many cold models at once. Beyond that number, each load takes proportionally
+ * longer, so that further loads only delay all of them. */
 void Dispatcher::AdjustStoreConcurrency(const PendingOrder& aLoad, Duration aTook)
 {
   if (!aLoad.isFromStore || aLoad.expectedDuration <= Duration::zero()) {
@@ -542,6 +547,8 @@
   }
 }
 
+/* Returns whether one more load from the weight store stays within the estimated number of
+ * concurrent loads at full speed and within the configured load rate. */
 bool Dispatcher::MayLoadFromStore(TimePoint aNow, const Engine& aEngine) const
 {
   const auto loadCount = static_cast<double>(CountStoreLoads());
--- a/src/decision/fleet/dispatcher_plan.cpp
+++ b/src/decision/fleet/dispatcher_plan.cpp
@@ -14,7 +14,8 @@
 /* Time ahead for which the chance of a request for a model, and the work beyond what its replicas
  * can serve, are weighed, in seconds. */
 constexpr double kDemandHorizonS = 8.0;
-/* Caller delay per request a second that an unloaded replica would have served, in seconds. */
+/* Caller delay that is expected from unloading a replica, in seconds, for each request per second
+ * that it serves. */
 constexpr double kLostReplicaCostS = 0.3;
 /* Value of a replica beyond the number needed, relative to a needed one. */
 constexpr double kSurplusReplicaFactor = 0.05;
@@ -37,10 +38,11 @@
  * runners. */
 constexpr std::size_t kMaxPlansPerRound = 12;
 constexpr Duration kPlanInterval = 20ms;
-/* Time for which a cached keep value is used. The value follows rates averaged over seconds, so it
- * changes slowly. */
+/* Time for which a cached retention value is used. The value follows rates averaged over seconds,
+ * so it changes slowly. */
 constexpr Duration kRetentionValueLifetime = 50ms;
-/* Time between two checks for models whose demand exceeds their replicas, and for free memory. */
+/* Time between two checks for models whose demand exceeds what their replicas can serve, and for
+ * free memory. */
 constexpr Duration kOverloadCheckInterval = 200ms;
 /* Time after which a planned swap whose load the runner has not accepted is cancelled. */
 constexpr Duration kSwapTimeout = 15s;
@@ -140,7 +142,8 @@
          (!aRunner.order || aRunner.order->IsAboutAdapter()) && !mSwaps.contains(aRunner.entry.id);
 }
 
-/* Returns the caller delay to expect if a replica is unloaded, in seconds. The result is cached. */
+/* Returns the caller delay to expect if a replica is unloaded, in seconds. The result is cached for
+ * kRetentionValueLifetime. */
 double Dispatcher::RetentionValue(TimePoint aNow,
                                   const ManagedRunner& aRunner,
                                   const ModelId& aModel,
@@ -307,8 +310,8 @@
   }
 }
 
-/* Load pattern: demand for a few models exceeds their replicas, or moves to other models. The
- * reason logged for these swaps is "crowded". */
+/* Load pattern: demand for a few models exceeds what their replicas can serve, or moves to other
+ * models. The reason logged for these swaps is "crowded". */
 void Dispatcher::PlanOverloadedModels(TimePoint aNow)
 {
   if (!mConfiguration) {
--- a/src/decision/fleet/fleet_configuration_type.h
+++ b/src/decision/fleet/fleet_configuration_type.h
@@ -18,9 +18,9 @@
 /* Tells whether and how a request can be repeated after it was sent to an endpoint. */
 enum class RouteKind : std::uint8_t
 {
-  kIdempotent,
-  kNonIdempotent,
-  kStream,
+  kIdempotent,    ///< The request can be sent again from its beginning.
+  kNonIdempotent, ///< The request must not be sent again once it may have run.
+  kStream, ///< The answer is a stream of events, which can be resumed if the route is resumable.
 };
 
 /* A service that gets a share of a route's requests, in proportion to its weight. */
--- a/src/decision/fleet/retry_share.cpp
+++ b/src/decision/fleet/retry_share.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/* Fraction of the limit that is used. The rest is a margin, because others count the same requests
- * and retries a little differently and at other times. */
+/* Fraction of the limit that is used. The rest is a margin: whoever else checks the fleet's budget
+ * counts the same requests and retries a little differently and at other times. */
 constexpr double kUsedFraction = 0.8;
 
 } // namespace
--- a/src/decision/fleet/retry_share.h
+++ b/src/decision/fleet/retry_share.h
@@ -18,9 +18,9 @@
   std::uint32_t daemons = 1; ///< Number of daemons that share the slack.
 };
 
-/* Counts the requests and the retries to each service and limits the retries. All daemons together
- * stay within the fleet's budget when each one stays within its share. So a service whose endpoints
- * all fail is not flooded with retries. */
+/* Counts the requests and the retries to each service and limits the retries, so that a service
+ * whose endpoints all fail is not flooded with them. All daemons together stay within the fleet's
+ * budget when each one stays within its share. */
 class RetryShare
 {
 public:
--- a/src/decision/fleet/runner_registry.cpp
+++ b/src/decision/fleet/runner_registry.cpp
@@ -12,7 +12,7 @@
 
 /* Age at which a load that an endpoint reported is no longer used. */
 constexpr Duration kMaxReportedLoadAge = 400ms;
-/* Time for which a runner without an entry is kept, so that answers still in flight find it. */
+/* Time for which an endpoint without an entry is kept, so that answers still in flight find it. */
 constexpr Duration kRemovedRunnerRetention = 60s;
 
 bool HasLoaded(const RunnerEntry& aEntry, const ModelRef& aModel)
--- a/src/decision/fleet/runner_registry.h
+++ b/src/decision/fleet/runner_registry.h
@@ -13,9 +13,9 @@
 
 namespace rhubarbtrail::fleet {
 
-/* Time after the store is reachable again within which entries return that expired during the
- * outage. The operators of the store state about 2 s. The rest allows for the delay until this
- * daemon sees them. */
+/* Time for which an endpoint without an entry does not count as gone after an outage of the store
+ * has ended. Entries that expired during the outage return within about 2 s, as the operators of
+ * the store state. The rest allows for the delay until this daemon sees them. */
 constexpr Duration kExpiredEntryGracePeriod = 2'300ms;
 
 /* An endpoint with the state that this daemon keeps of it. */
@@ -39,10 +39,12 @@
   kAvoided, ///< It is avoided because requests failed there or were refused.
 };
 
+/* Holds the endpoints of all services, runners and others, and chooses among them by their entries,
+ * load and health. */
 class RunnerRegistry
 {
 public:
-  /* What a new entry of a runner changes. */
+  /* What a new entry of an endpoint changes. */
   enum class Change : std::uint8_t
   {
     kNone,
@@ -52,21 +54,21 @@
     kUpdated,
   };
 
-  /* Stores a runner's entry and returns what it changes. */
+  /* Stores an endpoint's entry and returns what it changes. */
   Change Apply(TimePoint aNow, RunnerEntry aEntry);
-  /* Records that a runner's entry is no longer in the store. */
+  /* Records that an endpoint's entry is no longer in the store. */
   void Remove(TimePoint aNow, const EndpointId& aRunner);
   /* Records that the store is reachable again after an outage. */
   void OnStoreReachable(TimePoint aNow) { mStoreReachableSince = aNow; }
   void OnStoreUnreachable() { mStoreReachableSince.reset(); }
 
-  /* Record the start and the end of a request at a runner. */
+  /* Record the start and the end of a request at an endpoint. */
   void RecordRequestStart(const EndpointId& aRunner);
   void RecordRequestEnd(TimePoint aNow, const EndpointId& aRunner, EndpointOutcome aSign);
-  /* Records the load that a runner reported. */
+  /* Records the load that an endpoint reported. */
   void RecordLoad(TimePoint aNow, const EndpointId& aRunner, const EndpointLoad& aLoad);
 
-  /* Returns whether a runner may get new requests, and if not, why. */
+  /* Returns whether an endpoint may get new requests (kNone), and otherwise why not. */
   Exclusion Check(TimePoint aNow, const KnownRunner& aRunner) const;
 
   /* The request that an endpoint is chosen for. */
@@ -90,7 +92,7 @@
   bool IsGone(TimePoint aNow, const KnownRunner& aRunner) const;
 
   std::map<EndpointId, KnownRunner> mRunners;
-  /* Empty while the store is unreachable. */
+  /* Since when the store is reachable. Empty while it is unreachable. */
   std::optional<TimePoint> mStoreReachableSince{ TimePoint{} };
 };
 
--- a/src/decision/fleet/runner_type.h
+++ b/src/decision/fleet/runner_type.h
@@ -40,7 +40,7 @@
   kDraining,
 };
 
-/* The row by which a runner announces itself. */
+/* The row by which a runner announces itself. Endpoints that load no models have one, too. */
 struct RunnerEntry
 {
   EndpointId id;
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -197,10 +197,12 @@
   }
 }
 
-/* Applies the current state of the lease. Logs a change of the holder. Clears the dispatcher's
- * state when another holder follows this daemon. When this daemon takes the lease while it still
- * receives another dispatcher's heartbeats, sends its open placement requests and assignments to
- * its own dispatcher. Updates the dispatcher's order permission. */
+/* Applies the current state of the lease:
+ * - Logs a change of the holder.
+ * - Clears the dispatcher's state when the lease row no longer names this daemon.
+ * - Sends this daemon's open placement requests and assignments to its own dispatcher when it takes
+ *   the lease while another daemon still counts as the dispatcher.
+ * - Updates the dispatcher's permission to send orders. */
 void FleetMember::ApplyLeaseState()
 {
   const TimePoint now = BootClockNow();
@@ -522,8 +524,8 @@
 
 void FleetMember::SendOrder(const fleet::RunnerOrder& aOrder)
 {
-  // Checked again: the host may have been suspended since the dispatcher decided, and the
-  // permission to give orders may have expired meanwhile. BootClockNow() counts suspensions.
+  // Checked again, because the host may have been suspended since the dispatcher decided, and the
+  // permission to send orders may have expired meanwhile. BootClockNow() counts suspensions.
   if (!mLease.MayOrder(BootClockNow())) {
     mServices.dispatcher.OnOrderResult(
       BootClockNow(), aOrder.runner, fleet::OrderOutcome::kNotSent);
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -28,8 +28,8 @@
   ZoneId zone;
   std::string address;        ///< host:port on which this daemon takes messages of other daemons.
   Duration leaseSpacing = 3s; ///< Minimum time between the orders of two successive holders.
-  Duration
-    additionalTakeoverDelay{}; ///< Extra time that this host waits before it takes the lease.
+  /* Extra time that this host waits before it takes a free or expired lease. */
+  Duration additionalTakeoverDelay{};
 };
 
 /* Parts of the daemon that FleetMember uses. The references must outlive it. */
@@ -126,10 +126,11 @@
   boost::asio::steady_timer mDispatcherTimer;
   std::map<DaemonId, Member> mMembers;
   std::map<DaemonId, std::string> mAddresses; ///< Of all daemons that have ever sent a hello.
-  bool mHasRemoteDispatcher = false; ///< Another daemon is the dispatcher; its heartbeats arrive.
-  fleet::OrderLeaseRow
-    mDispatcherLease;           ///< From its last heartbeat; messages go to the address in it.
-  TimePoint mLastHeartbeatAt{}; ///< When its last heartbeat arrived.
+  /* Another daemon is the dispatcher, and its heartbeats arrive. */
+  bool mHasRemoteDispatcher = false;
+  /* Lease row from the last heartbeat of that dispatcher. Messages go to the address in it. */
+  fleet::OrderLeaseRow mDispatcherLease;
+  TimePoint mLastHeartbeatAt{}; ///< When that dispatcher's last heartbeat arrived.
   TimePoint mNextHeartbeatAt{};
   TimePoint mNextHelloAt{};
   std::string mLoggedHolder; ///< Holder and incarnation in the last holder_changed log line.
--- a/src/fleet/fleet_message.h
+++ b/src/fleet/fleet_message.h
@@ -13,8 +13,8 @@
 
 namespace rhubarbtrail {
 
-/* Sent periodically by every other daemon to the dispatcher: joins its member list and serves as a
- * heartbeat. */
+/* Sent periodically to the dispatcher by every other daemon. It makes the sender a member of the
+ * fleet and serves as the sender's heartbeat. */
 struct HelloMessage
 {
   ZoneId zone;
@@ -30,8 +30,8 @@
   std::uint32_t daemons = 1; ///< Daemons known to the dispatcher, itself included.
 };
 
-/* A runner's process ended while it ran a request, which is now suspected of crashing runners, or a
- * suspected request was answered and is cleared. */
+/* Reports that a request is suspected of crashing runners, because a runner's process ended while
+ * it ran the request, or that a suspected request was answered and so is cleared. */
 struct SuspectMessage
 {
   FingerprintId request;
@@ -56,6 +56,7 @@
 /* Encodes a message as a MessagePack map. Decoding ignores unknown keys, so that daemons of
  * successive releases understand each other. */
 std::vector<std::uint8_t> EncodeFleetMessage(const FleetMessage& aMessage);
+/* Returns the message, or a description of the error. */
 tl::expected<FleetMessage, std::string> DecodeFleetMessage(const std::string& aBytes);
 
 /* Encodes the lease row as JSON, the form in which the store keeps it. */
--- a/src/fleet/store_client.h
+++ b/src/fleet/store_client.h
@@ -15,10 +15,10 @@
 enum class StoreOutcome : std::uint8_t
 {
   kDone,
-  kConflict,    ///< The row's version is not the expected one; nothing was written.
+  kConflict,    ///< The row has another version than expected. Nothing was written.
   kHistoryGone, ///< The store no longer keeps the changes since the version given to Watch().
-  kUnavailable, ///< Not connected, or another HTTP status: a write counts as not done.
-  kUnknown,     ///< No complete or readable answer: a write may take effect, now or later.
+  kUnavailable, ///< Not connected, or another HTTP status. A write counts as not done.
+  kUnknown,     ///< No complete or readable answer. A write may take effect, now or later.
 };
 
 std::string_view ToString(StoreOutcome aOutcome);
--- a/src/fleet/table_feed.h
+++ b/src/fleet/table_feed.h
@@ -25,8 +25,8 @@
   std::function<void(const std::string&)> onRemoved;    ///< The row with this key was removed.
   std::function<void()> onSynced;    ///< All changes in the store's last answer were delivered.
   std::function<void()> onStoreLost; ///< A call failed. Not repeated until the store has answered.
-  std::function<void()>
-    onStoreRecovered; ///< The store has answered for the first time after onStoreLost.
+  /* The store has answered for the first time after onStoreLost. */
+  std::function<void()> onStoreRecovered;
 };
 
 /* Reads the whole table once, then watches it for changes. When the store no longer keeps the
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,5 +1,6 @@
-/* Splits a server-sent event stream into complete events. Only complete events are forwarded, so
- * that a broken stream can be resumed at another runner after the last of them. */
+/* Splits a server-sent event stream into complete events. While the stream runs, only complete
+ * events are forwarded, so that a stream that breaks off can be resumed at another runner after the
+ * last of them. */
 #ifndef RHUBARBTRAIL_GATEWAY_EVENT_SPLITTER_H
 #define RHUBARBTRAIL_GATEWAY_EVENT_SPLITTER_H
 
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -34,8 +34,8 @@
 {
   const auto found = mPendingRequests.find(aReply.id);
   if (found == mPendingRequests.end()) {
-    // Answered already, given up by OnDispatcherLost(), or withdrawn by Release(), which notified
-    // the dispatcher.
+    // The request was answered before, here or by OnDispatcherLost(), or Release() has withdrawn it
+    // and notified the dispatcher.
     return;
   }
   const PendingRequest pending = std::move(found->second);
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -35,7 +35,8 @@
   /* Sends all assignments and pending placement requests to a dispatcher that does not know them,
    * because it is new or was restarted. */
   void OnNewDispatcher();
-  /* No dispatcher can be reached: answers all pending placement requests with PlaceUnknown. */
+  /* No dispatcher can be reached: answers all pending placement requests with
+   * PlacementUndecided. */
   void OnDispatcherLost();
 
   std::size_t pendingRequestCount() const { return mPendingRequests.size(); }
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -32,14 +32,15 @@
 /* Time limit for connecting to an endpoint. Connecting normally takes a few milliseconds. */
 constexpr Duration kConnectTimeout = 250ms;
 /* Time limit for the response head of an attempt that may be repeated, as a multiple of the route's
- * objective, and the minimum of this limit. */
+ * latency objective, and the minimum of this limit. */
 constexpr int kAnswerTimeoutObjectives = 3;
 constexpr Duration kMinAnswerTimeout = 250ms;
 /* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
- * of the route's pause objective. It lies below the eight at which clients give up. */
+ * of the route's event gap objective. It is less than kClientTimeoutPauses, so that the stream can
+ * be resumed before clients give up. */
 constexpr int kStreamTimeoutPauses = 4;
-/* Clients give up a stream when nothing arrives for two seconds, four times the objective or eight
- * times the pause objective, whichever is longest. */
+/* Clients give up a stream when nothing arrives for two seconds, four times the latency objective
+ * or eight times the event gap objective, whichever is longest. */
 constexpr Duration kMinClientTimeout = 2s;
 constexpr int kClientTimeoutObjectives = 4;
 constexpr int kClientTimeoutPauses = 8;
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -15,7 +15,8 @@
 
 namespace rhubarbtrail {
 
-/* Its timers, its call and the responder's handler keep it alive while the request is open. */
+/* One client request. Its timers, its call and the responder's handler keep the object alive until
+ * the request has ended. */
 class RequestFlow : public std::enable_shared_from_this<RequestFlow>
 {
 public:
@@ -60,6 +61,8 @@
   void WaitForEndpoint();
 
   void SendToEndpoint(const EndpointId& aEndpoint, std::string_view aSelectionReason);
+  /* Takes the head of the endpoint's answer. Returns false, which skips the answer, if it belongs
+   * to another request. */
   bool OnHead(const http::AnswerHead& aHead);
   void OnBody(std::string_view aBytes);
   void OnEnd(http::CallResult aResult);
@@ -105,8 +108,8 @@
   fleet::AttemptState mAttemptState;
   Attempt mAttempt;
   std::set<EndpointId> mFailedEndpoints;
-  std::optional<fleet::PlacementRequestId>
-    mPlacementId; ///< Of the pending request or the held assignment.
+  /* Id of the pending placement request or of the assignment in use. */
+  std::optional<fleet::PlacementRequestId> mPlacementId;
   EventSplitter mEventSplitter;
   std::string mLastEventId; ///< Last event id that was forwarded to the client.
   std::uint32_t mEventsForwarded = 0;
