--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -127,10 +127,10 @@
 void Dispatcher::OnRunnerEntry(TimePoint aNow, const RunnerEntry& aEntry)
 {
   ManagedRunner& runner = mRunners[aEntry.id];
-  const bool isOtherRunner = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
-                             runner.entry.startedAtMs != aEntry.startedAtMs ||
-                             runner.entry.service != aEntry.service;
-  if (isOtherRunner) {
+  const bool isNewOrChanged = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
+                              runner.entry.startedAtMs != aEntry.startedAtMs ||
+                              runner.entry.service != aEntry.service;
+  if (isNewOrChanged) {
     ResetRunner(aNow, runner, aEntry);
     return;
   }
@@ -185,9 +185,9 @@
       known.readyAt = std::min(known.readyAt, aNow);
     }
   }
-  for (const ModelRef& arriving : aHoldings.loadingAdapters) {
-    if (const auto held = aRunner.models.find(arriving.model); held != aRunner.models.end()) {
-      held->second.adapters.try_emplace(arriving.adapter,
+  for (const ModelRef& loading : aHoldings.loadingAdapters) {
+    if (const auto held = aRunner.models.find(loading.model); held != aRunner.models.end()) {
+      held->second.adapters.try_emplace(loading.adapter,
                                         HeldAdapter{ .readyAt = aNow + kAdapterLoadTime });
     }
   }
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -226,7 +226,7 @@
 
   // dispatcher.cpp
   void ScheduleTick(TimePoint aTime);
-  void LogDecision(DispatchLogRecord aNote) { mActions.emplace_back(std::move(aNote)); }
+  void LogDecision(DispatchLogRecord aRecord) { mActions.emplace_back(std::move(aRecord)); }
   void ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry);
   void AdoptHoldings(TimePoint aNow, ManagedRunner& aRunner, const RunnerHoldings& aHoldings);
   void AddAssignment(TimePoint aNow,
@@ -311,14 +311,14 @@
   std::size_t CountAdapterLoads(TimePoint aNow) const;
   static bool HasAdapterLoad(TimePoint aNow, const HeldModel& aModel);
   bool MayLoadAfterUnload(TimePoint aNow, const ManagedRunner& aRunner) const;
-  void OnOrderNotTaken(TimePoint aNow, ManagedRunner& aRunner);
+  void OnOrderNotAccepted(TimePoint aNow, ManagedRunner& aRunner);
   void SendOrder(TimePoint aNow,
                  ManagedRunner& aRunner,
                  OrderKind aKind,
                  const ModelRef& aSubject,
                  const OrderDetails& aDetails);
   void OnAccepted(TimePoint aNow, ManagedRunner& aRunner);
-  void OnAlreadyInEffect(TimePoint aNow, ManagedRunner& aRunner);
+  void OnAlreadyDone(TimePoint aNow, ManagedRunner& aRunner);
   void DropOrder(ManagedRunner& aRunner);
   void FinishOrder(TimePoint aNow, ManagedRunner& aRunner);
   void PresumeLoads(TimePoint aNow);
--- a/src/decision/fleet/dispatcher_order.cpp
+++ b/src/decision/fleet/dispatcher_order.cpp
@@ -208,18 +208,18 @@
       OnAccepted(aNow, runner);
       break;
     case OrderOutcome::kAlreadyDone:
-      OnAlreadyInEffect(aNow, runner);
+      OnAlreadyDone(aNow, runner);
       break;
     case OrderOutcome::kConflict:
-      OnOrderNotTaken(aNow, runner);
+      OnOrderNotAccepted(aNow, runner);
       break;
     case OrderOutcome::kNotSent:
-      OnOrderNotTaken(aNow, runner);
+      OnOrderNotAccepted(aNow, runner);
       runner.ordersPausedUntil = aNow + kReportInterval;
       break;
     case OrderOutcome::kFenced:
     case OrderOutcome::kRejected:
-      OnOrderNotTaken(aNow, runner);
+      OnOrderNotAccepted(aNow, runner);
       runner.ordersPausedUntil = aNow + kRejectionPause;
       break;
     case OrderOutcome::kUnknown:
@@ -232,7 +232,7 @@
 
 /* The order did not take effect: it conflicted with another order, was fenced or rejected, or could
  * not be sent. */
-void Dispatcher::OnOrderNotTaken(TimePoint aNow, ManagedRunner& aRunner)
+void Dispatcher::OnOrderNotAccepted(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
   DropOrder(aRunner);
@@ -292,7 +292,7 @@
 }
 
 /* The runner answered that the ordered state already holds. */
-void Dispatcher::OnAlreadyInEffect(TimePoint aNow, ManagedRunner& aRunner)
+void Dispatcher::OnAlreadyDone(TimePoint aNow, ManagedRunner& aRunner)
 {
   const PendingOrder pending = *aRunner.order;
   const ModelRef subject = pending.order.subject;
--- a/src/decision/fleet/endpoint_health.cpp
+++ b/src/decision/fleet/endpoint_health.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-void EndpointHealth::Record(TimePoint aNow, EndpointOutcome aSign)
+void EndpointHealth::Record(TimePoint aNow, EndpointOutcome aOutcome)
 {
-  switch (aSign) {
+  switch (aOutcome) {
     case EndpointOutcome::kSucceeded:
       mFailureShare -= kFailureWeight * mFailureShare;
       mConsecutiveFailures = 0;
--- a/src/decision/fleet/endpoint_health.h
+++ b/src/decision/fleet/endpoint_health.h
@@ -25,7 +25,7 @@
 class EndpointHealth
 {
 public:
-  void Record(TimePoint aNow, EndpointOutcome aSign);
+  void Record(TimePoint aNow, EndpointOutcome aOutcome);
   void Reset() { *this = {}; }
   /* Returns whether requests should go to other endpoints for now. */
   bool IsAvoided(TimePoint aNow) const { return aNow < mAvoidedUntil; }
--- a/src/decision/fleet/runner_registry.cpp
+++ b/src/decision/fleet/runner_registry.cpp
@@ -72,7 +72,7 @@
 
 void RunnerRegistry::RecordRequestEnd(TimePoint aNow,
                                       const EndpointId& aRunner,
-                                      EndpointOutcome aSign)
+                                      EndpointOutcome aOutcome)
 {
   const auto found = mRunners.find(aRunner);
   if (found == mRunners.end()) {
@@ -80,7 +80,7 @@
   }
   KnownRunner& runner = found->second;
   runner.inFlight -= std::min<std::uint32_t>(runner.inFlight, 1);
-  runner.health.Record(aNow, aSign);
+  runner.health.Record(aNow, aOutcome);
 }
 
 void RunnerRegistry::RecordLoad(TimePoint aNow,
--- a/src/decision/fleet/runner_registry.h
+++ b/src/decision/fleet/runner_registry.h
@@ -64,7 +64,7 @@
 
   /* Record the start and the end of a request at an endpoint. */
   void RecordRequestStart(const EndpointId& aRunner);
-  void RecordRequestEnd(TimePoint aNow, const EndpointId& aRunner, EndpointOutcome aSign);
+  void RecordRequestEnd(TimePoint aNow, const EndpointId& aRunner, EndpointOutcome aOutcome);
   /* Records the load that an endpoint reported. */
   void RecordLoad(TimePoint aNow, const EndpointId& aRunner, const EndpointLoad& aLoad);
 
--- a/src/fleet/fleet_member.cpp
+++ b/src/fleet/fleet_member.cpp
@@ -24,8 +24,8 @@
 constexpr Duration kDispatcherTimeout = 1'300ms;
 constexpr Duration kMemberTimeout = 2'500ms;
 /* Time limits for a runner's answer to an order, for its report, and for connecting to it. */
-constexpr Duration kOrderTimeout = 400ms;
-constexpr Duration kReportTimeout = 400ms;
+constexpr Duration kOrderAnswerTimeout = 400ms;
+constexpr Duration kReportAnswerTimeout = 400ms;
 constexpr Duration kRunnerConnectTimeout = 250ms;
 /* Table and key of the lease row in the store. */
 constexpr const char* kFleetTable = "rhubarbtrail";
@@ -494,21 +494,22 @@
 
 void FleetMember::Execute(const fleet::DispatchAction& aAction)
 {
-  std::visit(Overloaded{ [this](const fleet::PlacementReply& aReply) { SendReply(aReply); },
-                         [this](const fleet::RunnerOrder& aOrder) { SendOrder(aOrder); },
-                         [this](const fleet::ReportRequest& aWanted) { FetchReport(aWanted); },
-                         [this](const fleet::DispatchLogRecord& aNote) {
-                           mServices.log.Write(aNote.event,
-                                               { { "id", aNote.request },
-                                                 { "endpoint", aNote.runner },
-                                                 { "model", aNote.model.model },
-                                                 { "adapter", aNote.model.adapter },
-                                                 { "why", aNote.why },
-                                                 { "time_ms", ToMilliseconds(aNote.time) },
-                                                 { "count", aNote.count },
-                                                 { "fence", mLease.fence().value } });
-                         } },
-             aAction);
+  std::visit(
+    Overloaded{ [this](const fleet::PlacementReply& aReply) { SendReply(aReply); },
+                [this](const fleet::RunnerOrder& aOrder) { SendOrder(aOrder); },
+                [this](const fleet::ReportRequest& aReportRequest) { FetchReport(aReportRequest); },
+                [this](const fleet::DispatchLogRecord& aRecord) {
+                  mServices.log.Write(aRecord.event,
+                                      { { "id", aRecord.request },
+                                        { "endpoint", aRecord.runner },
+                                        { "model", aRecord.model.model },
+                                        { "adapter", aRecord.model.adapter },
+                                        { "why", aRecord.why },
+                                        { "time_ms", ToMilliseconds(aRecord.time) },
+                                        { "count", aRecord.count },
+                                        { "fence", mLease.fence().value } });
+                } },
+    aAction);
 }
 
 void FleetMember::SendReply(const fleet::PlacementReply& aReply)
@@ -543,8 +544,8 @@
       .request = platform::EncodeOrder(aOrder),
       .reuse = http::Reuse::kAllowed,
       .connectTimeout = kRunnerConnectTimeout,
-      .answerTimeout = kOrderTimeout,
-      .bodyIdleTimeout = kOrderTimeout },
+      .answerTimeout = kOrderAnswerTimeout,
+      .bodyIdleTimeout = kOrderAnswerTimeout },
     { .onHead =
         [status](const http::AnswerHead& aHead) {
           *status = aHead.status;
@@ -572,7 +573,7 @@
         } });
 }
 
-void FleetMember::FetchReport(const fleet::ReportRequest& aWanted)
+void FleetMember::FetchReport(const fleet::ReportRequest& aReportRequest)
 {
   struct Progress
   {
@@ -581,11 +582,11 @@
   };
   auto progress = std::make_shared<Progress>();
   mServices.client.Start(
-    { .address = aWanted.address,
-      .request = platform::EncodeReportRequest(aWanted.runner),
+    { .address = aReportRequest.address,
+      .request = platform::EncodeReportRequest(aReportRequest.runner),
       .connectTimeout = kRunnerConnectTimeout,
-      .answerTimeout = kReportTimeout,
-      .bodyIdleTimeout = kReportTimeout },
+      .answerTimeout = kReportAnswerTimeout,
+      .bodyIdleTimeout = kReportAnswerTimeout },
     { .onHead =
         [progress](const http::AnswerHead& aHead) {
           progress->status = aHead.status;
@@ -593,7 +594,7 @@
         },
       .onBody = [progress](std::string_view aBytes) { progress->body += aBytes; },
       .onEnd =
-        [this, progress, runner = aWanted.runner](http::CallResult aResult) {
+        [this, progress, runner = aReportRequest.runner](http::CallResult aResult) {
           constexpr unsigned kOk = 200;
           const bool isSuccess = aResult == http::CallResult::kComplete && progress->status == kOk;
           const auto report = isSuccess
--- a/src/fleet/fleet_member.h
+++ b/src/fleet/fleet_member.h
@@ -115,7 +115,7 @@
   void Execute(const fleet::DispatchAction& aAction);
   void SendReply(const fleet::PlacementReply& aReply);
   void SendOrder(const fleet::RunnerOrder& aOrder);
-  void FetchReport(const fleet::ReportRequest& aWanted);
+  void FetchReport(const fleet::ReportRequest& aReportRequest);
   ZoneId ZoneOf(const DaemonId& aDaemon) const;
 
   FleetMemberServices mServices;
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -40,9 +40,9 @@
   }
   const PendingRequest pending = std::move(found->second);
   mPendingRequests.erase(found);
-  if (const auto* granted = std::get_if<fleet::RunnerAssigned>(&aReply.answer)) {
+  if (const auto* assigned = std::get_if<fleet::RunnerAssigned>(&aReply.answer)) {
     mAssignments.insert_or_assign(aReply.id,
-                                  fleet::AssignmentInUse{ pending.request, granted->runner });
+                                  fleet::AssignmentInUse{ pending.request, assigned->runner });
   }
   pending.handler(aReply);
 }
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -84,7 +84,7 @@
 bool RequestFlow::MayAnswer(std::string_view aReason)
 {
   if (!mIsEnded && mIsHeadSent) {
-    AbortAnswer(aReason);
+    BreakOffAnswer(aReason);
   }
   return !mIsEnded && !mIsHeadSent;
 }
@@ -129,7 +129,7 @@
 }
 
 /* Breaks off an answer of which a part has been forwarded, and ends the request. */
-void RequestFlow::AbortAnswer(std::string_view aReason)
+void RequestFlow::BreakOffAnswer(std::string_view aReason)
 {
   mContext.log.Write("stream_cut",
                      { { "id", mClient.requestId },
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -36,14 +36,14 @@
 constexpr int kAnswerTimeoutObjectives = 3;
 constexpr Duration kMinAnswerTimeout = 250ms;
 /* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
- * of the route's event gap objective. It is less than kClientTimeoutPauses, so that the stream can
+ * of the route's event gap objective. It is less than kClientTimeoutGaps, so that the stream can
  * be resumed before clients give up. */
-constexpr int kStreamTimeoutPauses = 4;
+constexpr int kStreamTimeoutGaps = 4;
 /* Clients give up a stream when nothing arrives for two seconds, four times the latency objective
  * or eight times the event gap objective, whichever is longest. */
 constexpr Duration kMinClientTimeout = 2s;
 constexpr int kClientTimeoutObjectives = 4;
-constexpr int kClientTimeoutPauses = 8;
+constexpr int kClientTimeoutGaps = 8;
 /* When more bytes than this are not yet sent to the client, reading from the endpoint is paused
  * until all are sent. */
 constexpr std::size_t kUnsentBytesLimit = 256U << 10U;
@@ -231,7 +231,7 @@
 {
   return std::max({ kMinClientTimeout,
                     mRoute->latencyObjective * kClientTimeoutObjectives,
-                    mRoute->eventGapObjective * kClientTimeoutPauses });
+                    mRoute->eventGapObjective * kClientTimeoutGaps });
 }
 
 void RequestFlow::SelectEndpoint()
@@ -367,7 +367,7 @@
     if (mAttemptState.runs == 0) {
       Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "retry_share_spent");
     } else if (mIsHeadSent) {
-      AbortAnswer("retry_share_spent");
+      BreakOffAnswer("retry_share_spent");
     } else {
       Fail(ResultCode::kAttemptsExhausted, "retry_share_spent");
     }
@@ -399,7 +399,7 @@
     .connectTimeout = kConnectTimeout,
     .answerTimeout = AnswerTimeout(),
     .bodyIdleTimeout = mAttemptState.isResumable && mRoute->eventGapObjective > Duration::zero()
-                         ? mRoute->eventGapObjective * kStreamTimeoutPauses
+                         ? mRoute->eventGapObjective * kStreamTimeoutGaps
                          : Duration::zero(),
   };
   const auto weak = weak_from_this();
@@ -636,7 +636,7 @@
       Fail(ResultCode::kAttemptsExhausted, fleet::ToString(aEnd));
       break;
     case NextStep::kBreakOffAnswer:
-      AbortAnswer(fleet::ToString(aEnd));
+      BreakOffAnswer(fleet::ToString(aEnd));
       break;
   }
 }
--- a/src/gateway/request_flow.h
+++ b/src/gateway/request_flow.h
@@ -81,7 +81,7 @@
   bool MayAnswer(std::string_view aReason);
   void Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason);
   void Fail(ResultCode aCode, std::string_view aReason);
-  void AbortAnswer(std::string_view aReason);
+  void BreakOffAnswer(std::string_view aReason);
   void End(std::string_view aOutcome, ResultCode aCode, unsigned aStatus);
   void SendOwnAnswer(ResultCode aCode, unsigned aStatus, Duration aRetryAfter);
 
