--- a/src/decision/fleet/attempt_policy.cpp
+++ b/src/decision/fleet/attempt_policy.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/* Number of attempts that have not run after which a request is given up. It is limited because
- * each attempt is one more arrival at an endpoint. */
+/* Number of attempts that have not run after which a request is not sent again. It is limited
+ * because each attempt is one more arrival at an endpoint. */
 constexpr std::uint32_t kRefusalLimit = 4;
 /* No further attempt is made with this time left or less, because no answer could arrive in it. */
 constexpr Duration kMinAttemptTime = 20ms;
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -124,9 +124,9 @@
   const Engine* engine = nullptr; ///< Engine of the runner's service. Null for plain services.
   WeightMemory weightMemory;
   bool isGone = false; ///< The entry was removed, but requests are still in flight.
-  /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by a
-   * new fencing token, a restart of the runner, a refused request, and a report that the runner
-   * carries out an order that is not pending here. */
+  /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by
+   * Clear(), a new fencing token, a restart of the runner, a refused request, and a report that the
+   * runner carries out an order that is not pending here. */
   bool areHoldingsConfirmed = false;
   std::map<ModelId, HeldModel> models;
   std::set<ModelId> inHostMemory;
--- a/src/decision/fleet/fleet_configuration_type.h
+++ b/src/decision/fleet/fleet_configuration_type.h
@@ -39,7 +39,7 @@
   bool isResumable = false; ///< Another endpoint can continue a stream that broke off.
   Duration timeout{};       ///< Longest time from arrival to the end of the answer. 0 for no limit.
   Duration latencyObjective{}; ///< Latency goal for the answer, or for the first event of a stream.
-  Duration eventGapObjective{};  ///< Goal for the longest pause between two events of a stream.
+  Duration eventGapObjective{};  ///< Goal for the longest gap between two events of a stream.
   std::uint32_t priority = 0;    ///< 0 is the most urgent.
   std::uint32_t maxAttempts = 1; ///< Maximum number of attempts of one request that may run.
   std::vector<ServiceShare> services;
--- a/src/decision/fleet/order_lease.h
+++ b/src/decision/fleet/order_lease.h
@@ -120,9 +120,9 @@
 private:
   enum class Phase : std::uint8_t
   {
-    kWatching,
-    kAcquiring,
-    kHeld,
+    kWatching,  ///< Another daemon holds the lease, or none does.
+    kAcquiring, ///< A write that takes the lease is in progress, or its result is unknown.
+    kHeld,      ///< This daemon has taken the lease and does not know that it has lost it.
   };
 
   void UpdateRow(TimePoint aNow, const OrderLeaseRow& aRow, RowVersion aVersion);
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -107,8 +107,8 @@
   End("refused", aCode, info.httpStatus);
 }
 
-/* Answers that the request may have run or is invalid, and ends it. A status that tells clients
- * that it has not run is replaced by 502 if it may have run. */
+/* Answers with a failure and ends the request: it may have run, is invalid, or its deadline has
+ * passed. A status that tells clients that it has not run is replaced by 502 if it may have run. */
 void RequestFlow::Fail(ResultCode aCode, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -35,9 +35,9 @@
  * latency objective, and the minimum of this limit. */
 constexpr int kAnswerTimeoutObjectives = 3;
 constexpr Duration kMinAnswerTimeout = 250ms;
-/* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
- * of the route's event gap objective. It is less than kClientTimeoutGaps, so that the stream can
- * be resumed before clients give up. */
+/* Longest gap between events of a resumable stream before it is resumed at another endpoint, as a
+ * multiple of the route's event gap objective. It is less than kClientTimeoutGaps, so that the
+ * stream can be resumed before clients give up. */
 constexpr int kStreamTimeoutGaps = 4;
 /* Clients give up a stream when nothing arrives for two seconds, four times the latency objective
  * or eight times the event gap objective, whichever is longest. */
