--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -12,7 +12,7 @@
 namespace rhubarbtrail {
 
 /* Keeps this daemon's pending placement requests and its assignments. The dispatcher may be this
- * daemon or another one. When the dispatcher changes, both are sent to the new one. */
+ * daemon or another one. OnNewDispatcher() sends both to a dispatcher that does not know them. */
 class PlacementClient
 {
 public:
