--- a/src/fleet/table_feed.h
+++ b/src/fleet/table_feed.h
@@ -16,7 +16,8 @@
 {
   std::string table;
   Duration watchTimeout = 2'300ms; ///< How long the store may hold a watch without changes open.
-  Duration minInterval{};          ///< Minimum time between the starts of two watches.
+  /* Minimum time between the starts of two watches. Changes in between arrive together. */
+  Duration minInterval{};
 };
 
 struct TableFeedHandlers
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -89,7 +89,7 @@
   return !mIsEnded && !mIsHeadSent;
 }
 
-/* Answers that the request has not run, and ends it. */
+/* Answers that the request has not run and will not run, and ends it. */
 void RequestFlow::Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
