--- a/src/decision/fleet/dispatcher.cpp
+++ b/src/decision/fleet/dispatcher.cpp
@@ -49,7 +49,8 @@
   }
 }
 
-/* Called once per service and configuration, since planning needs the result for every runner. */
+/* Called once per service when a configuration is set, since planning needs the result for every
+ * runner. */
 WeightMemory Dispatcher::WeightMemoryOf(const Engine& aEngine)
 {
   WeightMemory memory{ .smallestModel = aEngine.weights };
@@ -111,6 +112,8 @@
   mNextTickAt = std::min(mNextTickAt, aTime);
 }
 
+/* Replaces everything known about a runner by its entry and drops its assignments and its swap,
+ * because the runner is new, was restarted, or has another address or service. */
 void Dispatcher::ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry)
 {
   aRunner = {};
@@ -124,10 +127,10 @@
 void Dispatcher::OnRunnerEntry(TimePoint aNow, const RunnerEntry& aEntry)
 {
   ManagedRunner& runner = mRunners[aEntry.id];
-  const bool isOtherRunner = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
-                             runner.entry.startedAtMs != aEntry.startedAtMs ||
-                             runner.entry.service != aEntry.service;
-  if (isOtherRunner) {
+  const bool isNewOrChanged = runner.entry.id.empty() || runner.entry.address != aEntry.address ||
+                              runner.entry.startedAtMs != aEntry.startedAtMs ||
+                              runner.entry.service != aEntry.service;
+  if (isNewOrChanged) {
     ResetRunner(aNow, runner, aEntry);
     return;
   }
@@ -154,6 +157,8 @@
   }
 }
 
+/* Replaces the assumed holdings by those of an entry or report. Times of use and counts of requests
+ * in flight are kept for what is still held. */
 void Dispatcher::AdoptHoldings(TimePoint aNow,
                                ManagedRunner& aRunner,
                                const RunnerHoldings& aHoldings)
@@ -180,9 +185,9 @@
       known.readyAt = std::min(known.readyAt, aNow);
     }
   }
-  for (const ModelRef& arriving : aHoldings.loadingAdapters) {
-    if (const auto held = aRunner.models.find(arriving.model); held != aRunner.models.end()) {
-      held->second.adapters.try_emplace(arriving.adapter,
+  for (const ModelRef& loading : aHoldings.loadingAdapters) {
+    if (const auto held = aRunner.models.find(loading.model); held != aRunner.models.end()) {
+      held->second.adapters.try_emplace(loading.adapter,
                                         HeldAdapter{ .readyAt = aNow + kAdapterLoadTime });
     }
   }
--- a/src/decision/fleet/dispatcher.h
+++ b/src/decision/fleet/dispatcher.h
@@ -72,7 +72,7 @@
   std::map<AdapterId, HeldAdapter> adapters;
   TimePoint lastUsed{};
   std::uint32_t inFlight = 0;
-  bool isLeaving = false; ///< Will be unloaded for a planned swap. Gets no more requests.
+  bool isLeaving = false; ///< A planned swap will unload the model. It gets no more requests.
   /* Cached result of RetentionValue(), in seconds, and when it was computed. */
   mutable double retentionValue = 0.0;
   mutable TimePoint retentionValueAt{};
@@ -124,9 +124,9 @@
   const Engine* engine = nullptr; ///< Engine of the runner's service. Null for plain services.
   WeightMemory weightMemory;
   bool isGone = false; ///< The entry was removed, but requests are still in flight.
-  /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by a
-   * new fencing token, a restart of the runner, a refused request, and a report that the runner
-   * carries out an order that is not pending here. */
+  /* A report has confirmed the holdings. Orders are sent only while this is set. It is cleared by
+   * Clear(), a new fencing token, a restart of the runner, a refused request, and a report that the
+   * runner carries out an order that is not pending here. */
   bool areHoldingsConfirmed = false;
   std::map<ModelId, HeldModel> models;
   std::set<ModelId> inHostMemory;
@@ -144,6 +144,8 @@
   EndpointHealth health;
 };
 
+/* The dispatcher's state and decisions. Events are passed in, and Tick() returns the actions that
+ * follow from them. Only a daemon with order permission sends orders and requests reports. */
 class Dispatcher
 {
 public:
@@ -224,7 +226,7 @@
 
   // dispatcher.cpp
   void ScheduleTick(TimePoint aTime);
-  void LogDecision(DispatchLogRecord aNote) { mActions.emplace_back(std::move(aNote)); }
+  void LogDecision(DispatchLogRecord aRecord) { mActions.emplace_back(std::move(aRecord)); }
   void ResetRunner(TimePoint aNow, ManagedRunner& aRunner, const RunnerEntry& aEntry);
   void AdoptHoldings(TimePoint aNow, ManagedRunner& aRunner, const RunnerHoldings& aHoldings);
   void AddAssignment(TimePoint aNow,
@@ -259,8 +261,8 @@
 
   // dispatcher_plan.cpp
   void RunPlanningRound(TimePoint aNow);
-  /* Plans a replica at the runner where it costs least, unless it costs more than the benefit.
-   * Returns whether a swap was planned. */
+  /* Plans a replica at the runner where it costs least, unless it costs more than the benefit. Cost
+   * and benefit are seconds of caller delay. Returns whether a swap was planned. */
   bool PlanSwap(TimePoint aNow,
                 const ServiceId& aService,
                 const ModelId& aModel,
@@ -309,14 +311,14 @@
   std::size_t CountAdapterLoads(TimePoint aNow) const;
   static bool HasAdapterLoad(TimePoint aNow, const HeldModel& aModel);
   bool MayLoadAfterUnload(TimePoint aNow, const ManagedRunner& aRunner) const;
-  void OnOrderNotTaken(TimePoint aNow, ManagedRunner& aRunner);
+  void OnOrderNotAccepted(TimePoint aNow, ManagedRunner& aRunner);
   void SendOrder(TimePoint aNow,
                  ManagedRunner& aRunner,
                  OrderKind aKind,
                  const ModelRef& aSubject,
                  const OrderDetails& aDetails);
   void OnAccepted(TimePoint aNow, ManagedRunner& aRunner);
-  void OnAlreadyInEffect(TimePoint aNow, ManagedRunner& aRunner);
+  void OnAlreadyDone(TimePoint aNow, ManagedRunner& aRunner);
   void DropOrder(ManagedRunner& aRunner);
   void FinishOrder(TimePoint aNow, ManagedRunner& aRunner);
   void PresumeLoads(TimePoint aNow);
--- a/src/gateway/placement_client.cpp
+++ b/src/gateway/placement_client.cpp
@@ -34,15 +34,15 @@
 {
   const auto found = mPendingRequests.find(aReply.id);
   if (found == mPendingRequests.end()) {
-    // Answered already, given up by OnDispatcherLost(), or withdrawn by Release(), which notified
-    // the dispatcher.
+    // The request was answered before, here or by OnDispatcherLost(), or Release() has withdrawn it
+    // and notified the dispatcher.
     return;
   }
   const PendingRequest pending = std::move(found->second);
   mPendingRequests.erase(found);
-  if (const auto* granted = std::get_if<fleet::RunnerAssigned>(&aReply.answer)) {
+  if (const auto* assigned = std::get_if<fleet::RunnerAssigned>(&aReply.answer)) {
     mAssignments.insert_or_assign(aReply.id,
-                                  fleet::AssignmentInUse{ pending.request, granted->runner });
+                                  fleet::AssignmentInUse{ pending.request, assigned->runner });
   }
   pending.handler(aReply);
 }
--- a/src/gateway/placement_client.h
+++ b/src/gateway/placement_client.h
@@ -12,7 +12,7 @@
 namespace rhubarbtrail {
 
 /* Keeps this daemon's pending placement requests and its assignments. The dispatcher may be this
- * daemon or another one. When the dispatcher changes, both are sent to the new one. */
+ * daemon or another one. OnNewDispatcher() sends both to a dispatcher that does not know them. */
 class PlacementClient
 {
 public:
@@ -35,7 +35,8 @@
   /* Sends all assignments and pending placement requests to a dispatcher that does not know them,
    * because it is new or was restarted. */
   void OnNewDispatcher();
-  /* No dispatcher can be reached: answers all pending placement requests with PlaceUnknown. */
+  /* No dispatcher can be reached: answers all pending placement requests with
+   * PlacementUndecided. */
   void OnDispatcherLost();
 
   std::size_t pendingRequestCount() const { return mPendingRequests.size(); }
--- a/src/gateway/request_answer.cpp
+++ b/src/gateway/request_answer.cpp
@@ -84,12 +84,12 @@
 bool RequestFlow::MayAnswer(std::string_view aReason)
 {
   if (!mIsEnded && mIsHeadSent) {
-    AbortAnswer(aReason);
+    BreakOffAnswer(aReason);
   }
   return !mIsEnded && !mIsHeadSent;
 }
 
-/* Answers that the request has not run, and ends it. */
+/* Answers that the request has not run and will not run, and ends it. */
 void RequestFlow::Refuse(ResultCode aCode, Duration aRetryAfter, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
@@ -107,8 +107,8 @@
   End("refused", aCode, info.httpStatus);
 }
 
-/* Answers that the request may have run or is invalid, and ends it. A status that tells clients
- * that it has not run is replaced by 502 if it may have run. */
+/* Answers with a failure and ends the request: it may have run, is invalid, or its deadline has
+ * passed. A status that tells clients that it has not run is replaced by 502 if it may have run. */
 void RequestFlow::Fail(ResultCode aCode, std::string_view aReason)
 {
   if (!MayAnswer(aReason)) {
@@ -129,7 +129,7 @@
 }
 
 /* Breaks off an answer of which a part has been forwarded, and ends the request. */
-void RequestFlow::AbortAnswer(std::string_view aReason)
+void RequestFlow::BreakOffAnswer(std::string_view aReason)
 {
   mContext.log.Write("stream_cut",
                      { { "id", mClient.requestId },
--- a/src/gateway/request_flow.cpp
+++ b/src/gateway/request_flow.cpp
@@ -32,17 +32,18 @@
 /* Time limit for connecting to an endpoint. Connecting normally takes a few milliseconds. */
 constexpr Duration kConnectTimeout = 250ms;
 /* Time limit for the response head of an attempt that may be repeated, as a multiple of the route's
- * objective, and the minimum of this limit. */
+ * latency objective, and the minimum of this limit. */
 constexpr int kAnswerTimeoutObjectives = 3;
 constexpr Duration kMinAnswerTimeout = 250ms;
-/* Longest pause within a resumable stream before it is resumed at another endpoint, as a multiple
- * of the route's pause objective. It lies below the eight at which clients give up. */
-constexpr int kStreamTimeoutPauses = 4;
-/* Clients give up a stream when nothing arrives for two seconds, four times the objective or eight
- * times the pause objective, whichever is longest. */
+/* Longest gap between events of a resumable stream before it is resumed at another endpoint, as a
+ * multiple of the route's event gap objective. It is less than kClientTimeoutGaps, so that the
+ * stream can be resumed before clients give up. */
+constexpr int kStreamTimeoutGaps = 4;
+/* Clients give up a stream when nothing arrives for two seconds, four times the latency objective
+ * or eight times the event gap objective, whichever is longest. */
 constexpr Duration kMinClientTimeout = 2s;
 constexpr int kClientTimeoutObjectives = 4;
-constexpr int kClientTimeoutPauses = 8;
+constexpr int kClientTimeoutGaps = 8;
 /* When more bytes than this are not yet sent to the client, reading from the endpoint is paused
  * until all are sent. */
 constexpr std::size_t kUnsentBytesLimit = 256U << 10U;
@@ -230,7 +231,7 @@
 {
   return std::max({ kMinClientTimeout,
                     mRoute->latencyObjective * kClientTimeoutObjectives,
-                    mRoute->eventGapObjective * kClientTimeoutPauses });
+                    mRoute->eventGapObjective * kClientTimeoutGaps });
 }
 
 void RequestFlow::SelectEndpoint()
@@ -366,7 +367,7 @@
     if (mAttemptState.runs == 0) {
       Refuse(ResultCode::kEndpointUnavailable, kDefaultRetryAfter, "retry_share_spent");
     } else if (mIsHeadSent) {
-      AbortAnswer("retry_share_spent");
+      BreakOffAnswer("retry_share_spent");
     } else {
       Fail(ResultCode::kAttemptsExhausted, "retry_share_spent");
     }
@@ -398,7 +399,7 @@
     .connectTimeout = kConnectTimeout,
     .answerTimeout = AnswerTimeout(),
     .bodyIdleTimeout = mAttemptState.isResumable && mRoute->eventGapObjective > Duration::zero()
-                         ? mRoute->eventGapObjective * kStreamTimeoutPauses
+                         ? mRoute->eventGapObjective * kStreamTimeoutGaps
                          : Duration::zero(),
   };
   const auto weak = weak_from_this();
@@ -635,7 +636,7 @@
       Fail(ResultCode::kAttemptsExhausted, fleet::ToString(aEnd));
       break;
     case NextStep::kBreakOffAnswer:
-      AbortAnswer(fleet::ToString(aEnd));
+      BreakOffAnswer(fleet::ToString(aEnd));
       break;
   }
 }
