--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -24,7 +24,7 @@
   kLoadDecided, ///< Memory is reserved. The load order waits for the placement row to be written.
   kLoading,     ///< The load order was sent.
   kLoaded,
-  kDraining,      ///< Routers are asked to stop using it.
+  kDraining,      ///< Drain messages ask routers to stop using it.
   kUnloadDecided, ///< Drained. The unload order waits for the placement row to be written.
   kUnloading,     ///< The unload order was sent.
 };
@@ -39,24 +39,29 @@
   OrderId order;                ///< The load order, replaced by the unload order in kUnloadDecided.
   Incarnation issuer;           ///< The daemon process that decided on the order.
   bool isIntentWritten = false; ///< The placement row has the order, or none has to be sent.
-  bool isReserved = false;      ///< An order of a former holder may still reach the runner.
-  bool isOrderConfirmed = false; ///< Confirmed by an answer of the runner or by an inventory.
-  bool mayHaveReachedRunner = false;
+  /* An order of a former holder may still reach the runner, so the memory stays reserved. */
+  bool isReserved = false;
+  bool isOrderConfirmed = false;     ///< Confirmed by an answer of the runner or by an inventory.
+  bool mayHaveReachedRunner = false; ///< An order for the replica may have reached the runner.
   TimePoint orderConfirmedAt{};
   TimePoint nextSendAt{}; ///< Earliest time to send the order or to repeat the drain messages.
   TimePoint lastUsed{};
-  TimePoint unloadableFrom{}; ///< Until then, routers that a former holder informed may use it.
+  /* Until this time, routers that got the location from a former holder may use the replica. */
+  TimePoint unloadableFrom{};
   std::set<AdapterId> adapters;
-  std::map<AdapterId, TimePoint> adapterRetryAt;  ///< Adapter to the time to repeat its load order.
+  /* Adapters with an unfinished load order, and the time to repeat it. That is TimePoint::max()
+   * while the result of the order is open. */
+  std::map<AdapterId, TimePoint> adapterRetryAt;
   std::map<DaemonId, TimePoint> permittedRouters; ///< Router to the end of its permission.
-  /* The final inventory before the unload order was requested. */
+  /* An inventory was requested that must show no request before the unload order is sent. */
   bool isFinalInventoryRequested = false;
-  std::uint32_t running = 0; ///< Requests in flight, from the last inventory that listed the model.
+  std::uint32_t running = 0; ///< Requests that run on it, by the last inventory that listed it.
   /* Only an inventory that was requested at or after this time can show that no request is left. */
   TimePoint idleCheckFrom{};
 };
 
-/* Whether a runner answers, by its last inventory order or a connection that failed since. */
+/* Whether a runner answers, by the result of its last inventory order or by a later load order that
+ * could not connect. */
 enum class RunnerReachability : std::uint8_t
 {
   kUnknown, ///< No inventory order has ended in this lease term.
@@ -83,12 +88,13 @@
 struct PendingDemand
 {
   std::set<DaemonId> waitingRouters; ///< They get a reply when the artifact is loaded or refused.
-  TimePoint deadline{};              ///< Demands with earlier deadlines are served first.
-  TimePoint expiresAt{};             ///< Dropped at this time unless a router repeats its demand.
+  TimePoint deadline{}; ///< Deadline of a waiting request. The demand with the earliest goes first.
+  TimePoint expiresAt{};     ///< Dropped at this time unless a router repeats its demand.
   std::uint32_t waiting = 0; ///< Largest number of waiting requests that one message has stated.
 };
 
-/* A router's request to run a suspect alone on a runner. A suspect may have crashed a runner. */
+/* A router's request for a runner on which a suspect runs alone. A suspect is a request that may
+ * have crashed a runner. */
 struct IsolationRequest
 {
   RequestId request;
@@ -105,15 +111,15 @@
   IsolationRequest isolationRequest;
   EndpointId runner;
   bool isGranted = false;  ///< The runner is drained, and the suspect may be sent there.
-  TimePoint until{};       ///< End of the grant. Unset before it.
+  TimePoint until{};       ///< End of the grant, set when the runner is granted.
   TimePoint nextDrainAt{}; ///< When drain messages to the remaining routers are due.
 };
 
 /* The state of a cell's lease as seen by this daemon. */
 enum class LeasePhase : std::uint8_t
 {
-  kNotHeld, ///< Not held by this daemon.
-  kAcquiring,
+  kNotHeld,   ///< This daemon does not act as holder.
+  kAcquiring, ///< The transaction that acquires it is in flight.
   kHeld,
 };
 
@@ -158,11 +164,18 @@
 
 private:
   // cell_lease.cpp
+  /* Reads the lease row at intervals if this daemon may take the lease over or has a pending demand
+   * for the cell. */
   void WatchLease(Context& aContext, const View& aView);
+  /* Applies the rows of a read. Steps down if another daemon has taken the lease over. While the
+   * lease is not held, acquires it if it has no holder, or if its row has not changed for a quarter
+   * longer than the lease length. */
   void OnRowsRead(Context& aContext, const View& aView, const Row& aLease, const Row& aPlacement);
   void AcquireLease(Context& aContext);
   void RenewLease(Context& aContext);
+  /* Starts as holder, with the replicas that the placement row lists. */
   void BeginLeaseTerm(Context& aContext, const View& aView, const PlacementRow& aPlacement);
+  /* Discards the runners, replicas and isolation, and returns to watching the lease. */
   void StepDown(Context& aContext);
   void ReadLeaseAndPlacement(Context& aContext);
   /* Returns whether the lease lasts longer than an order sent now can take to arrive. */
@@ -198,7 +211,13 @@
   /* Drains replicas that the keep-alive policy no longer retains, and those of models that are no
    * longer configured. */
   void DrainIdleReplicas(Context& aContext, const View& aView);
+
+  // preload_policy.cpp
+  /* Loads models that are likely to be used soon, if the service has the cost-aware policy. */
   void PreloadPredictedModels(Context& aContext, const View& aView);
+
+  // cell_demand.cpp
+  /* Records the time of the use, and the idle time before it if that was long enough to be sure. */
   void RecordUse(const Context& aContext, const DemandMessage& aDemand);
 
   // replica_count_policy.cpp
@@ -206,12 +225,19 @@
   std::uint32_t TargetReplicas(const ModelId& aModel) const;
   /* Returns whether no replica of the model is loading, draining or unloading. */
   bool AreAllReplicasLoaded(const ModelId& aModel) const;
+  /* Updates the target number of replicas of each model that may have several, and adds or drains
+   * one replica where the number differs. */
   void UpdateReplicaCounts(Context& aContext, const View& aView);
-  /* Loads each adapter that one replica of the model has on the others, one order at a time. */
+  /* Loads each adapter that one replica of the model has on the others, with one order in
+   * flight for each adapter. */
   void ReplicateAdapters(Context& aContext, const View& aView, const ModelId& aModel);
+  /* Places one more replica if a load slot, a load token and enough memory are free. */
   void AddReplica(Context& aContext, const View& aView, const ModelSpec& aModel);
   /* Drains the unloadable replica of the model whose runner reports the highest load. */
   void DrainSurplusReplica(Context& aContext, const View& aView, const ModelId& aModel);
+
+  // cell_placement.cpp
+  /* Writes the placement row if it has changed and no write or read of it is in flight. */
   void WritePlacement(Context& aContext);
   PlacementRow MakePlacementRow(Context& aContext) const;
   /* Returns how long a router may use a location, as measured by this daemon's clock. It exceeds
@@ -222,6 +248,7 @@
   // cell_order.cpp
   /* Requests the inventories that are due, and drops runners that the host list no longer has. */
   void SyncRunners(Context& aContext, const View& aView);
+  /* Sends the load and unload orders that are due and may be sent. */
   void SendOrders(Context& aContext, const View& aView);
   /* Returns whether the replica's order may be sent, given the lease and the written placement. */
   bool MaySendOrder(const Context& aContext,
@@ -251,6 +278,10 @@
   void ReleaseReservations(Context& aContext, const View& aView);
 
   // cell_demand.cpp
+  /* Serves the pending demands by ascending deadline: replies if the artifact is loaded, else
+   * starts its load or frees memory for it. Refuses a demand if no runner has or gets enough memory
+   * and the deadline is too near for a load, or if the table is down and the runners do not check
+   * the fencing token. */
   void ServeDemands(Context& aContext, const View& aView);
   /* Takes a token from the bucket that limits loads from the weight store. Returns false if the
    * bucket is empty. */
@@ -266,6 +297,7 @@
                                               const View& aView,
                                               const Artifact& aArtifact,
                                               const DaemonId& aRouter);
+  /* Sends the locations to all routers that wait for the artifact, once it is loaded. */
   void SendReadyReplies(Context& aContext, const View& aView, const Artifact& aArtifact);
   void SendDemandReply(Context& aContext,
                        const View& aView,
@@ -277,10 +309,16 @@
   const ServiceSpec* FindServiceSpec(const View& aView) const;
 
   // cell_isolation.cpp
+  /* Ends an expired isolation, starts the next one and drains its runner. */
   void ServeIsolation(Context& aContext, const View& aView);
+  /* Drops isolation requests and the isolation if they have expired or their router's process is
+   * proven dead. */
   void ExpireIsolation(const Context& aContext, const View& aView);
+  /* Chooses a runner for the first queued suspect that a loaded replica can serve. */
   void StartIsolation(const Context& aContext, const View& aView);
+  /* Sends drain messages to the routers that may use the runner. Grants it when none is left. */
   void DrainIsolatedRunner(Context& aContext, const View& aView);
+  /* Answers an isolation request with any status. */
   void SendIsolationGrant(Context& aContext,
                           const View& aView,
                           const IsolationRequest& aIsolationRequest,
@@ -301,7 +339,7 @@
   ChangeId mLeaseChange;           ///< The lease transaction in flight, or empty.
   ChangeId mPlacementChange;       ///< The placement transaction in flight, or empty.
   ChangeId mReadInFlight;          ///< The read in flight, or empty.
-  bool mIsReleasingLease = false;  ///< The lease transaction in flight gives the lease up.
+  bool mIsReleasingLease = false;  ///< The lease transaction in flight releases the lease.
   bool mIsLeaseRead = false;       ///< The lease row was read since this daemon last stepped down.
   bool mIsPlacementDirty = false;  ///< The placement row has to be written.
   bool mIsTableReachable = true;   ///< The last table call of this cell got an answer.
--- a/src/decision/scheduler/cell_isolation.cpp
+++ b/src/decision/scheduler/cell_isolation.cpp
@@ -157,7 +157,7 @@
   const bool isDrainDue = mIsolation->nextDrainAt <= aContext.now();
   bool isDrained = true;
   for (auto& [model, replica] : mRunners.at(mIsolation->runner).replicas) {
-    replica.lastUsed = aContext.now(); // Prevents an unload during the isolation.
+    replica.lastUsed = aContext.now(); // Prevents an eviction for another model.
     std::erase_if(replica.permittedRouters, [&](const auto& aRouterPermission) {
       return aRouterPermission.second <= aContext.now();
     });
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -11,7 +11,7 @@
 
 /* Interval between inventory orders to a runner that answers. */
 constexpr Duration kInventoryInterval = 2s;
-/* Delay before the first regular inventory order when fenced recovery is disabled. */
+/* Delay before the first inventory order if a test disables Mechanism::kInventoryBeforeUse. */
 constexpr Duration kFirstInventoryDelay = 60s;
 /* Boot id recorded for a runner whose process has ended. No process has this id. */
 constexpr const char* kEndedProcessBootId = "none";
@@ -355,8 +355,8 @@
       continue;
     }
     // Once a runner that checks the fencing token has answered an order of this term, it rejects
-    // all orders of former holders. A load of theirs that is not listed then never happens. A
-    // loaded replica has no load order in flight.
+    // all orders of former holders, so a load of theirs that the inventory does not list never
+    // happens. A loaded replica has no load order in flight.
     const bool areOrdersChecked = !AreOrdersUnchecked(aView);
     const bool isKnownMissing =
       isFromFormerHolder && (areOrdersChecked || replica.phase == ReplicaPhase::kLoaded);
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -220,7 +220,7 @@
   aRunner.nextInventoryAt = aContext.now();
 }
 
-/* Returns whether a runner is leaving and takes no new requests. */
+/* Returns whether a runner takes no new requests, because it is leaving or operators drain it. */
 static bool IsLeaving(const View& aView, const EndpointId& aRunner)
 {
   const EndpointInfo* info = aView.FindEndpoint(aRunner);
--- a/src/decision/scheduler/keep_alive.cpp
+++ b/src/decision/scheduler/keep_alive.cpp
@@ -36,10 +36,11 @@
                         : std::max(percentileLimit, aPolicy.minimum));
 }
 
-/* Returns the ratio of the weighted cold-start time that is saved to the weighted memory time that
- * is spent, both as expected values, if the replica is kept from idle time aIdleTime on. Of all
- * bucket ends until which it could be kept, the one with the highest ratio counts. At 1 or more,
- * keeping the replica is worth its cost. */
+/* Returns the ratio of the expected saving to the expected cost of a replica that is kept from idle
+ * time aIdleTime on. The saving is the probability of reuse x the load time x coldStartWeight. The
+ * cost is the fraction of the memory x the expected time until reuse or unload. The replica could
+ * be kept until the end of any later bucket, and the highest ratio of all these ends is returned.
+ * At 1 or more, keeping the replica is worth its cost. */
 double KeepAliveBenefitRatio(const CostAwareKeepAlive& aPolicy,
                              const KeepAliveInput& aInput,
                              Duration aIdleTime)
