--- a/src/decision/router/claim_base.h
+++ b/src/decision/router/claim_base.h
@@ -1,5 +1,5 @@
-/* Claims: table rows, one for each idempotency key of a customer. A request must hold the claim of
- * its key before it is sent, so that an at-most-once request runs at most once. */
+/* Claims: table rows, one for each idempotency key of a customer. An at-most-once request is sent
+ * only while it holds the claim of its key, so that it runs at most once. */
 #ifndef RHUBARBTRAIL_DECISION_ROUTER_CLAIM_BASE_H
 #define RHUBARBTRAIL_DECISION_ROUTER_CLAIM_BASE_H
 
@@ -90,7 +90,7 @@
     Step step = Step::kInsert;
     bool isQueued = false;      ///< In mQueued, to be written in a later batch.
     bool isInBatch = false;     ///< Part of the transaction in flight.
-    bool isResultDue = true;    ///< The caller still expects a result.
+    bool isResultDue = true;    ///< The router still expects a result.
     bool isProvisional = false; ///< The recorded end is not final.
     /* The outcome of an earlier write is unknown, so it may still take effect. */
     bool mayTakeEffectLate = false;
@@ -102,7 +102,8 @@
   void SendBatch(Context& aContext);
   /* Compares an entry with the row that the table returned, and decides on its next write. */
   void ApplyRow(const RequestId& aRequest, const Row& aRow, std::vector<ClaimResult>& aResults);
-  /* Does so for an entry whose insertion is not confirmed yet. aRow is null if there is no row. */
+  /* Does the same for an entry whose insertion is not confirmed yet. aRow is null if there is no
+   * row. */
   void ApplyInsertedRow(const RequestId& aRequest,
                         Entry& aEntry,
                         const ClaimRow* aRow,
--- a/src/decision/router/fair_queue.cpp
+++ b/src/decision/router/fair_queue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/* Customers with a stored virtual time, at most. Beyond that, those whose time is not ahead of the
- * clock are erased, which changes nothing as VirtualStartOf() returns the clock's time for them. */
+/* Number of stored virtual times above which those that are not ahead of the clock are erased. That
+ * changes no order, as VirtualStartOf() returns the clock's time for these customers anyway. */
 constexpr std::size_t kStoredCustomerLimit = 65'536;
 
 } // namespace
--- a/src/decision/router/fair_queue_base.h
+++ b/src/decision/router/fair_queue_base.h
@@ -57,9 +57,10 @@
    * several queues the one with the smallest rank goes first. */
   std::optional<std::pair<std::uint32_t, double>> BestRank(const FairClock& aClock) const;
 
-  /* Estimates how many waiting requests would start before this one if it were pushed now. These
-   * are all requests of higher priority, all of its own customer at its priority, and of each other
-   * customer at its priority as many as the ratio of the weights allows until it starts. */
+  /* Estimates how many waiting requests would start before this one if it were pushed now. Counts
+   * all requests of higher priority and all of its own customer at its priority. Of each other
+   * customer at its priority it counts at most n x the ratio of that customer's weight to its own,
+   * where n is the number of its own customer's requests at that priority including itself. */
   double EstimateAhead(const QueuedRequest& aRequest) const;
 
   /* Returns the customer's request of the lowest priority and, among these, the latest deadline. */
--- a/src/decision/router/quarantine.cpp
+++ b/src/decision/router/quarantine.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/* Most fingerprints in a set. At the limit expired ones are erased. If none is, new ones are
- * ignored. */
+/* Maximum number of fingerprints in a set. At the limit, expired ones are erased. If none has
+ * expired, new ones are ignored. */
 constexpr std::size_t kFingerprintLimit = 16'384;
 
 } // namespace
--- a/src/decision/router/retry_budget.cpp
+++ b/src/decision/router/retry_budget.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/* Buckets above which all of them are erased and start full again. */
+/* Number of buckets above which all of them are erased and start full again. */
 constexpr std::size_t kBucketLimit = 65'536;
 
 std::string CustomerBucket(const CustomerId& aCustomer)
--- a/src/decision/router/retry_budget_base.h
+++ b/src/decision/router/retry_budget_base.h
@@ -12,7 +12,7 @@
 struct RetryBudgetOptions
 {
   double ratio = 0.2;  ///< Retries earned by each first attempt.
-  double burst = 10.0; ///< Most retries that a budget can hold, and its initial value.
+  double burst = 10.0; ///< Maximum number of retries in a budget, and its initial value.
 };
 
 /* Token buckets, one for each customer and one for each service. First attempts add tokens, and
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -80,17 +80,18 @@
 struct HolderContact
 {
   DaemonId holder; ///< Daemon that requests go to: the last that answered, was named or was tried.
-  FencingToken fence; ///< Highest fence seen. Demand replies with a lower one are ignored.
+  FencingToken fence; ///< Highest fencing token seen. Demand replies with a lower one are ignored.
   std::uint32_t candidateRank = 0; ///< Rank of the daemon being tried; see View::RankDaemons().
   bool hasFollowedHint = false;    ///< A holder hint was followed since this candidate was chosen.
   std::optional<TimePoint> holderUnansweredSince; ///< Time of its first unanswered request.
-  std::optional<TimePoint> demandUnansweredSince; ///< Time of the first demand nobody answered.
+  std::optional<TimePoint> demandUnansweredSince; ///< Time of the first demand no daemon answered.
   std::optional<TimePoint> lastWaitingDemandAt;   ///< Time of the last demand for waiting requests.
   bool isUnreachable = false; ///< Requests were refused because no daemon answered.
 };
 
-/* A pause after an endpoint refused an attempt. It doubles with each refusal after a pause, up
- * to a limit, and a completed attempt resets it. */
+/* A pause after an endpoint refused an attempt. Refusals during a pause leave it unchanged. The
+ * next refusal after it starts a pause of twice the length, up to a limit. A completed attempt
+ * resets it. */
 struct Backoff
 {
   std::uint32_t refusals = 0;
@@ -220,7 +221,7 @@
    * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
-  /* Returns whether a suspect in flight runs alone, so that a crash is certainly its doing. On a
+  /* Returns whether a suspect in flight runs alone, so that only it can have caused a crash. On a
    * plain service this covers the requests of this daemon only. */
   bool IsIsolatedSuspect(const Context& aContext, const Request& aRequest) const;
   /* Returns whether the request's fingerprint is a suspect or quarantined, and its endpoints are
@@ -256,8 +257,8 @@
   std::map<EndpointId, EndpointUse> mEndpoints;
   std::map<ServiceId, HolderContact> mHolders;
   std::map<std::pair<EndpointId, ModelId>, std::pair<DaemonId, DrainMessage>> mDraining;
-  std::map<CustomerId, std::uint32_t>
-    mUnansweredByCustomer; ///< Unanswered requests of each customer.
+  /* Number of unanswered requests of each customer. */
+  std::map<CustomerId, std::uint32_t> mUnansweredByCustomer;
   FairClock mFairClock;
   ClaimWriter mClaims;
   FingerprintSets mFingerprints;
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -160,7 +160,8 @@
   target.isDemandUnanswered = false;
   target.expectedReadyAt = aContext.now() + aReply.expectedWait;
   if (aReply.status == DemandStatus::kRefused) {
-    // With refusesBelow set, only requests with less time left than that are refused.
+    // With refusesBelow set, only requests with less time left than that are refused. One request
+    // that cannot wait for the load is no reason to refuse the others.
     const bool refusesAll = aReply.refusesBelow <= Duration::zero();
     RefuseWaiting(aContext,
                   target,
--- a/src/decision/router/router_quarantine.cpp
+++ b/src/decision/router/router_quarantine.cpp
@@ -48,8 +48,9 @@
     mFingerprints.suspects.Add(
       fingerprint, aContext.now() + aContext.settings().quarantineLength, aContext.now());
   }
-  // This daemon's own attempts on the crashed endpoint are suspects too. The other daemons are told
-  // only if there is an attempt that is not marked yet, so that the messages end.
+  // This daemon's own requests on the crashed endpoint are suspects, too. The other daemons are
+  // notified only if one of these requests is not marked yet. Otherwise daemons would answer each
+  // other's messages without end.
   const EndpointInfo* info = aView.FindEndpoint(aSuspects.endpoint);
   const auto use = mEndpoints.find(aSuspects.endpoint);
   if (info == nullptr || info->bootId != aSuspects.bootId || use == mEndpoints.end()) {
@@ -189,8 +190,8 @@
   }
   Request& request = found->second;
   if (request.isolationRequestNumber != aGrant.ask) {
-    // The validity of a reply counts from the sending of its request. That time is known only for
-    // the last request.
+    // The validity of a grant counts from the sending of its isolation request. That time is known
+    // only for the last one.
     return;
   }
   HolderContact& contact = mHolders[request.arrived.service];
@@ -257,8 +258,8 @@
       }
     } else if (request.state == RequestState::kInFlight &&
                request.reservedUntil <= aContext.now()) {
-      // Other requests may use the runner when the reservation has ended, so the attempt is given
-      // up.
+      // Other requests may use the runner when the reservation has ended, so the attempt is
+      // abandoned.
       const ResultCode code = FailureCode(request, ResultCode::kAttemptsExhausted);
       Refuse(aContext, id, code);
       Abandon(aContext, request);
