--- a/src/decision/configuration_type.h
+++ b/src/decision/configuration_type.h
@@ -47,7 +47,7 @@
 {
   std::uint32_t percentile = 90; ///< In percent.
   Duration minimum = 5s;         ///< Idle time for which a replica is always kept.
-  Duration maximum = 600s;       ///< Highest percentile that is used as idle time.
+  Duration maximum = 600s;       ///< Longest idle time for which a replica may be kept.
 };
 
 /* Unloads a replica when its expected cost exceeds the expected saving. The saving is the
--- a/src/decision/decision_settings_type.h
+++ b/src/decision/decision_settings_type.h
@@ -28,10 +28,9 @@
   Duration memberTimeout = 4s;     ///< Time without a message after which a daemon is unreachable.
   /* Interval between demands for the same artifact, and between repeats of an isolation request. */
   Duration demandInterval = 500ms;
-  Duration replicaLifetime = 10s; ///< Validity of the replica locations in a demand reply.
-  Duration orderRetryDelay =
-    500ms;                     ///< Delay before an order that failed or got no answer is repeated.
-  Duration progressLimit = 3s; ///< Maximum time without bytes during an attempt.
+  Duration replicaLifetime = 10s;   ///< Validity of the replica locations in a demand reply.
+  Duration orderRetryDelay = 500ms; ///< Delay before a failed or unanswered order is repeated.
+  Duration progressLimit = 3s;      ///< Maximum time without bytes during an attempt.
   Duration tableRetryDelay = 500ms; ///< Delay before a failed table call is repeated.
   /* Time for which a quarantined request is refused, and for which a suspect remains marked. */
   Duration quarantineLength = 600s;
--- a/src/decision/event_type.h
+++ b/src/decision/event_type.h
@@ -42,7 +42,7 @@
   kNotConnected,  ///< No byte of the request was sent.
   kNotRun,        ///< The endpoint refused and did not run it: model not loaded, role or queue.
   kLeaving,       ///< The endpoint refused and did not run it, because it is leaving.
-  kIncomplete,    ///< The answer is incomplete, or a 5xx status after which a retry is allowed.
+  kIncomplete,    ///< The answer is incomplete, or has a 5xx status after which a retry is allowed.
   kTimedOut,      ///< No byte arrived within the limit that StartAttempt sets.
   kCrashed,       ///< The connection broke, and the host refuses new ones: the process has ended.
   kForeignAnswer, ///< The answer belongs to another request.
@@ -56,8 +56,8 @@
   RequestId request;
   AttemptNumber attempt;
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  std::uint32_t deliveredEvents =
-    0; ///< Stream events delivered to the caller by all attempts so far.
+  /* Stream events delivered to the caller by all attempts so far. */
+  std::uint32_t deliveredEvents = 0;
   /* The answer, for the claim of an at-most-once request. Only set with kCompleted. */
   std::uint16_t httpStatus = 0;
   std::string contentType;
@@ -137,8 +137,8 @@
 struct MessageReceived
 {
   Incarnation from;
-  ConfigVersion
-    senderConfigVersion; ///< Configuration version of the sender when it sent the message.
+  /* Configuration version of the sender when it sent the message. */
+  ConfigVersion senderConfigVersion;
   Message message;
 };
 
--- a/src/decision/message_type.h
+++ b/src/decision/message_type.h
@@ -50,7 +50,7 @@
 
 enum class DemandStatus : std::uint8_t
 {
-  kReady,     ///< The reply lists the replicas.
+  kReady,     ///< The artifact is loaded. The reply lists the replicas that the router may use.
   kLoading,   ///< Another reply follows when the artifact is loaded or refused.
   kRefused,   ///< The artifact cannot be loaded now. The field refusal has the reason.
   kNotHolder, ///< The daemon does not hold the cell's lease.
@@ -157,7 +157,7 @@
   Duration expiresIn{}; ///< Time for which the request is refused.
 };
 
-/* Tells that a suspect request has completed and is no longer a suspect. */
+/* Notifies other daemons that a suspect has completed and is no longer a suspect. */
 struct ClearedMessage
 {
   FingerprintId fingerprint;
--- a/src/decision/row_type.h
+++ b/src/decision/row_type.h
@@ -121,6 +121,7 @@
   std::optional<RowValue> value;
 };
 
+/* The keys of the row types above. */
 RowKey CellLeaseKey(const CellId& aCell);
 RowKey PlacementKey(const CellId& aCell);
 RowKey ClaimKey(const CustomerId& aCustomer, const IdempotencyKey& aKey);
--- a/src/decision/view/view_base.h
+++ b/src/decision/view/view_base.h
@@ -15,8 +15,8 @@
 enum class EndpointState : std::uint8_t
 {
   kLive,
-  kLeaving,
-  kGone, ///< Not on the host list any more.
+  kLeaving, ///< Gets no new requests: the process is leaving, or operators drain the endpoint.
+  kGone,    ///< Not on the host list any more.
 };
 
 /* An endpoint, as the host list and the results of attempts describe it. */
@@ -66,11 +66,11 @@
   /* Returns whether requests may be sent to the endpoint now. */
   bool IsUsable(const EndpointId& aEndpoint, TimePoint aNow) const;
 
-  /* Returns whether this process of a daemon has certainly ended. That is so if the last
-   * message of the daemon came from another process, or if the daemon was on the host list and no
-   * longer is. It is also so if the daemon is not listed, has sent nothing within memberTimeout,
-   * and was in this state for more than another memberTimeout since the first call that found it
-   * so. */
+  /* Returns whether this process of a daemon has certainly ended. That is so in three cases:
+   * - The last message of the daemon came from another process.
+   * - The daemon was on an earlier host list and is not on the current one.
+   * - A host list has arrived, the daemon is not on it and has sent nothing within memberTimeout,
+   *   and this has been so for more than another memberTimeout since a call first found it. */
   bool IsProvenDead(const Context& aContext, const Incarnation& aIncarnation) const;
 
   /* Returns this daemon and those that sent a message within memberTimeout, by descending
@@ -104,7 +104,7 @@
                    const MessageReceived& aReceived,
                    const HeartbeatMessage& aHeartbeat);
   void RecordMember(Context& aContext, const Incarnation& aFrom, ConfigVersion aVersion);
-  /* Sends a daemon the leaving notices of the last seconds again, as messages may be lost. */
+  /* Sends a daemon this daemon's recent leaving notices again, as messages may be lost. */
   void RepeatLeavingNotices(Context& aContext, const DaemonId& aDaemon);
   void UpdateReadiness(Context& aContext);
   /* Returns whether the table or a majority of daemons confirmed the configuration version within
