--- a/src/decision/router/router_admission.cpp
+++ b/src/decision/router/router_admission.cpp
@@ -30,9 +30,9 @@
   if (requestClass->second.repeatability == Repeatability::kAtMostOnce && aArrived.key.empty()) {
     return ResultCode::kIdempotencyKeyRequired;
   }
-  const auto queued = mUnansweredByCustomer.find(aArrived.customer);
+  const auto unanswered = mUnansweredByCustomer.find(aArrived.customer);
   const bool isCustomerFull =
-    queued != mUnansweredByCustomer.end() && queued->second >= customer->second.queueLimit;
+    unanswered != mUnansweredByCustomer.end() && unanswered->second >= customer->second.queueLimit;
   if (isCustomerFull) {
     return ResultCode::kQueueFull;
   }
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -238,7 +238,7 @@
   /* Quarantines the request's fingerprint on all daemons. Returns false if that is disabled. */
   bool QuarantineFingerprint(Context& aContext, View& aView, const Request& aRequest);
   void Retry(Context& aContext, View& aView, Request& aRequest);
-  static ResultCode FailureCode(const Request& aRequest, ResultCode aNotRun);
+  static ResultCode FailureCode(const Request& aRequest, ResultCode aCodeIfNotRun);
   void Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter = {});
   void Erase(const RequestId& aRequest);
   /* Removes the request from the deadlines, from its customer's count and from the queue or the
--- a/src/decision/router/router_demand.cpp
+++ b/src/decision/router/router_demand.cpp
@@ -36,11 +36,11 @@
 {
   HolderContact& contact = mHolders[aService];
   const Duration answerTimeout = kIntervalsBeforeNextHolder * aContext.settings().demandInterval;
-  const bool isMissing = contact.holderUnansweredSince &&
-                         aContext.now() - *contact.holderUnansweredSince >= answerTimeout;
-  if (isMissing || contact.holder.empty()) {
+  const bool hasHolderTimedOut = contact.holderUnansweredSince &&
+                                 aContext.now() - *contact.holderUnansweredSince >= answerTimeout;
+  if (hasHolderTimedOut || contact.holder.empty()) {
     const auto ranked = aView.RankDaemons(aContext, aService.str());
-    contact.candidateRank = isMissing ? contact.candidateRank + 1 : 0;
+    contact.candidateRank = hasHolderTimedOut ? contact.candidateRank + 1 : 0;
     contact.holder = ranked[contact.candidateRank % ranked.size()];
     contact.hasFollowedHint = false;
     contact.holderUnansweredSince.reset();
--- a/src/decision/router/router_outcome.cpp
+++ b/src/decision/router/router_outcome.cpp
@@ -39,12 +39,12 @@
 
 } // namespace
 
-/* Returns the result code of a request that failed: aNotRun if no attempt can have run, else a code
- * that says that it may have run. */
-ResultCode Router::FailureCode(const Request& aRequest, ResultCode aNotRun)
+/* Returns the result code of a request that failed: aCodeIfNotRun if no attempt can have run, else
+ * a code that says that it may have run. */
+ResultCode Router::FailureCode(const Request& aRequest, ResultCode aCodeIfNotRun)
 {
   if (!aRequest.mayHaveRun) {
-    return aNotRun;
+    return aCodeIfNotRun;
   }
   return IsAtMostOnce(aRequest) ? ResultCode::kOutcomeUnknown : ResultCode::kAttemptsExhausted;
 }
@@ -247,9 +247,9 @@
     mIsolatedRequests.erase(aRequest.arrived.request);
   }
   mDeadlines.erase({ aRequest.deadline, aRequest.arrived.request });
-  const auto queued = mUnansweredByCustomer.find(aRequest.arrived.customer);
-  if (--queued->second == 0) {
-    mUnansweredByCustomer.erase(queued);
+  const auto unanswered = mUnansweredByCustomer.find(aRequest.arrived.customer);
+  if (--unanswered->second == 0) {
+    mUnansweredByCustomer.erase(unanswered);
   }
 }
 
--- a/src/decision/scheduler/cell_base.h
+++ b/src/decision/scheduler/cell_base.h
@@ -36,11 +36,11 @@
   std::string version;
   MemoryMb memory; ///< Reserved for the weights and all adapters of the model.
   ReplicaPhase phase = ReplicaPhase::kLoadDecided;
-  OrderId order;                ///< The load order, replaced by the unload order in kUnloadDecided.
-  Incarnation issuer;           ///< The daemon process that decided on the order.
-  bool isIntentWritten = false; ///< The placement row has the order, or none has to be sent.
+  OrderId order;               ///< The load order, replaced by the unload order in kUnloadDecided.
+  Incarnation issuer;          ///< The daemon process that decided on the order.
+  bool isOrderWritten = false; ///< The placement row has the order, or none has to be sent.
   /* An order of a former holder may still reach the runner, so the memory stays reserved. */
-  bool isReserved = false;
+  bool isReservedForFormerOrder = false;
   bool isOrderConfirmed = false;     ///< Confirmed by an answer of the runner or by an inventory.
   bool mayHaveReachedRunner = false; ///< An order for the replica may have reached the runner.
   TimePoint orderConfirmedAt{};
@@ -100,7 +100,7 @@
   RequestId request;
   Incarnation owner;
   Artifact artifact;
-  std::uint64_t ask = 0; ///< Number of the router's last message, echoed in the answer.
+  std::uint64_t number = 0; ///< Number of the router's last isolation request, echoed in the grant.
   TimePoint deadline{};
   TimePoint expiresAt{}; ///< Dropped at this time unless the router repeats it.
 };
@@ -275,7 +275,7 @@
                       Replica& aReplica,
                       const OrderResult& aResult);
   /* Ends reservations whose issuer is dead, and asks the other issuers to withdraw their orders. */
-  void ReleaseReservations(Context& aContext, const View& aView);
+  void ReleaseFormerOrderReservations(Context& aContext, const View& aView);
 
   // cell_demand.cpp
   /* Serves the pending demands by ascending deadline: replies if the artifact is loaded, else
--- a/src/decision/scheduler/cell_isolation.cpp
+++ b/src/decision/scheduler/cell_isolation.cpp
@@ -30,7 +30,7 @@
 {
   IsolationGrantMessage grant{ .cell = mId,
                                .request = aIsolationRequest.request,
-                               .ask = aIsolationRequest.ask,
+                               .ask = aIsolationRequest.number,
                                .status = aStatus };
   if (aStatus == IsolationStatus::kGranted) {
     grant.runner = mIsolation->runner;
@@ -53,7 +53,7 @@
   const IsolationRequest isolationRequest{ .request = aRequest.request,
                                            .owner = aFrom,
                                            .artifact = aRequest.artifact,
-                                           .ask = aRequest.ask,
+                                           .number = aRequest.ask,
                                            .deadline = aContext.now() + aRequest.timeLeft,
                                            .expiresAt =
                                              aContext.now() + kIsolationRequestLifetime };
--- a/src/decision/scheduler/cell_lease.cpp
+++ b/src/decision/scheduler/cell_lease.cpp
@@ -31,7 +31,7 @@
   }
   aContext.WakeBy(mNextLeaseAction);
   SyncRunners(aContext, aView);
-  ReleaseReservations(aContext, aView);
+  ReleaseFormerOrderReservations(aContext, aView);
   DrainIdleReplicas(aContext, aView);
   ContinueDrains(aContext, aView);
   ServeIsolation(aContext, aView);
@@ -255,8 +255,8 @@
   if (isPlacementResult) {
     for (auto& [id, runner] : mRunners) {
       for (auto& [model, replica] : runner.replicas) {
-        replica.isIntentWritten =
-          replica.isIntentWritten || mOrdersBeingWritten.contains(replica.order);
+        replica.isOrderWritten =
+          replica.isOrderWritten || mOrdersBeingWritten.contains(replica.order);
       }
     }
     mOrdersBeingWritten.clear();
@@ -297,7 +297,7 @@
     replica.version = entry.version;
     replica.order = entry.order;
     replica.issuer = entry.issuer;
-    replica.isIntentWritten = true;
+    replica.isOrderWritten = true;
     replica.mayHaveReachedRunner = true;
     replica.lastUsed = aContext.now();
     replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
@@ -306,9 +306,10 @@
     }
     // A runner that does not check the fencing token may still carry out an order that a former
     // holder has sent, so the memory stays reserved until the order cannot arrive any more.
-    replica.isReserved = AreOrdersUnchecked(aView) && entry.issuer != aContext.self() &&
-                         entry.state != PlacementState::kLoaded &&
-                         aContext.IsEnabled(Mechanism::kFormerOrderReservation);
+    replica.isReservedForFormerOrder = AreOrdersUnchecked(aView) &&
+                                       entry.issuer != aContext.self() &&
+                                       entry.state != PlacementState::kLoaded &&
+                                       aContext.IsEnabled(Mechanism::kFormerOrderReservation);
     switch (entry.state) {
       case PlacementState::kLoad:
         replica.phase = ReplicaPhase::kLoading;
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -68,11 +68,11 @@
   if (areOrdersUnchecked && !LeaseCoversOrderDelivery(aContext)) {
     return false;
   }
-  if (!aReplica.isIntentWritten && areOrdersUnchecked &&
+  if (!aReplica.isOrderWritten && areOrdersUnchecked &&
       aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
     return false;
   }
-  if (aReplica.isIntentWritten) {
+  if (aReplica.isOrderWritten) {
     return true;
   }
   if (!aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
@@ -238,7 +238,7 @@
       return;
     case OrderOutcome::kNoMemory:
     case OrderOutcome::kFailed:
-      if (aReplica.isReserved) {
+      if (aReplica.isReservedForFormerOrder) {
         aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
         return;
       }
@@ -248,7 +248,7 @@
     case OrderOutcome::kConnectionRefused:
       aRunner.reachability = RunnerReachability::kUnreachable;
       aRunner.nextInventoryAt = aContext.now();
-      if (!aReplica.mayHaveReachedRunner && !aReplica.isReserved) {
+      if (!aReplica.mayHaveReachedRunner && !aReplica.isReservedForFormerOrder) {
         RemoveReplica(aRunner, model);
         return;
       }
@@ -268,7 +268,7 @@
                           Replica& aReplica,
                           const OrderResult& aResult)
 {
-  if (aResult.outcome == OrderOutcome::kDone && !aReplica.isReserved) {
+  if (aResult.outcome == OrderOutcome::kDone && !aReplica.isReservedForFormerOrder) {
     RemoveReplica(aRunner, ModelId{ aReplica.model });
     return;
   }
@@ -306,7 +306,7 @@
       replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
       replica.phase = loaded.ready ? ReplicaPhase::kLoaded : ReplicaPhase::kLoading;
       replica.isOrderConfirmed = true;
-      replica.isIntentWritten = true;
+      replica.isOrderWritten = true;
       if (spec != aView.configuration().models.end()) {
         replica.memory = ReservedMemory(spec->second);
       }
@@ -348,7 +348,7 @@
     if (isInInventory || replica.phase == ReplicaPhase::kLoadDecided) {
       continue;
     }
-    if (replica.isReserved) {
+    if (replica.isReservedForFormerOrder) {
       replica.phase =
         replica.phase == ReplicaPhase::kLoaded ? ReplicaPhase::kLoading : replica.phase;
       replica.isOrderConfirmed = false;
@@ -369,15 +369,15 @@
   }
 }
 
-void Cell::ReleaseReservations(Context& aContext, const View& aView)
+void Cell::ReleaseFormerOrderReservations(Context& aContext, const View& aView)
 {
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
-      if (!replica.isReserved) {
+      if (!replica.isReservedForFormerOrder) {
         continue;
       }
       if (aView.IsProvenDead(aContext, replica.issuer)) {
-        replica.isReserved = false;
+        replica.isReservedForFormerOrder = false;
         continue;
       }
       if (mNextKeepAliveCheck <= aContext.now()) {
@@ -399,7 +399,7 @@
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
       if (replica.order == aWithdrawn.order && replica.issuer == aWithdrawn.issuer) {
-        replica.isReserved = false;
+        replica.isReservedForFormerOrder = false;
       }
     }
   }
--- a/src/decision/scheduler/cell_placement.cpp
+++ b/src/decision/scheduler/cell_placement.cpp
@@ -164,7 +164,8 @@
     }
     std::vector<Replica*> idle;
     for (auto& [model, replica] : runner.replicas) {
-      const bool isIdle = replica.phase == ReplicaPhase::kLoaded && !replica.isReserved &&
+      const bool isIdle = replica.phase == ReplicaPhase::kLoaded &&
+                          !replica.isReservedForFormerOrder &&
                           replica.lastUsed + kMinEvictableIdleTime <= aContext.now() &&
                           replica.unloadableFrom <= aContext.now();
       if (isIdle) {
@@ -255,7 +256,7 @@
         replica.phase = ReplicaPhase::kUnloadDecided;
         replica.order = OrderId{ aContext.NewUniqueId() };
         replica.issuer = aContext.self();
-        replica.isIntentWritten = false;
+        replica.isOrderWritten = false;
         replica.isOrderConfirmed = false;
         mIsPlacementDirty = true;
         continue;
@@ -311,7 +312,8 @@
   }
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
-      const bool mayBeUnloaded = replica.phase == ReplicaPhase::kLoaded && !replica.isReserved &&
+      const bool mayBeUnloaded = replica.phase == ReplicaPhase::kLoaded &&
+                                 !replica.isReservedForFormerOrder &&
                                  replica.unloadableFrom <= aContext.now();
       const auto spec = aView.configuration().models.find(model);
       if (!mayBeUnloaded) {
--- a/src/decision/scheduler/replica_count_policy.cpp
+++ b/src/decision/scheduler/replica_count_policy.cpp
@@ -150,7 +150,7 @@
       continue;
     }
     const bool mayBeUnloaded =
-      !found->second.isReserved && found->second.unloadableFrom <= aContext.now();
+      !found->second.isReservedForFormerOrder && found->second.unloadableFrom <= aContext.now();
     if (mayBeUnloaded && (busiest == nullptr || runner.reportedLoad > busiest->reportedLoad)) {
       busiest = &runner;
     }
--- a/src/decision/view/view.cpp
+++ b/src/decision/view/view.cpp
@@ -142,9 +142,9 @@
       mLeavingBootIds[info.id] = host.bootId; // A later list may lag and show it as live.
     }
     const auto leaving = mLeavingBootIds.find(info.id);
-    const bool knownLeaving = leaving != mLeavingBootIds.end() && leaving->second == host.bootId;
-    info.state = host.state == HostState::kDrained || knownLeaving ? EndpointState::kLeaving
-                                                                   : EndpointState::kLive;
+    const bool isKnownLeaving = leaving != mLeavingBootIds.end() && leaving->second == host.bootId;
+    info.state = host.state == HostState::kDrained || isKnownLeaving ? EndpointState::kLeaving
+                                                                     : EndpointState::kLive;
   }
   std::erase_if(mEndpoints,
                 [](const auto& aItem) { return aItem.second.state == EndpointState::kGone; });
