--- a/src/codec/json_codec.cpp
+++ b/src/codec/json_codec.cpp
@@ -57,7 +57,7 @@
 namespace rhubarbtrail {
 
 /* Converts a type to and from a JSON object whose keys are the names of its members. A renamed
- * member would not be read by daemons of other releases, nor from rows already stored. */
+ * member would not be found by daemons of other releases, nor in rows that are already stored. */
 #define RHUBARBTRAIL_FIELDS(...) NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(__VA_ARGS__)
 
 RHUBARBTRAIL_FIELDS(Incarnation, daemon, id)
--- a/src/decision/configuration_type.h
+++ b/src/decision/configuration_type.h
@@ -109,6 +109,7 @@
   std::map<AdapterId, AdapterSpec> adapters;
 };
 
+/* A class of requests, which share a priority, a default deadline and their repeatability. */
 struct ClassSpec
 {
   ClassId id;
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -43,6 +43,7 @@
   std::string value;
 };
 
+/* The state machine of one daemon. */
 class Node
 {
 public:
--- a/src/decision/router/claim_base.h
+++ b/src/decision/router/claim_base.h
@@ -78,7 +78,7 @@
   enum class Step : std::uint8_t
   {
     kInsert,
-    kGranted, ///< The claim is in the table, and nothing is written until the request ends.
+    kGranted, ///< The claim is in the table. Nothing is written until the request ends.
     kUpdate,
     kRelease,
   };
@@ -97,8 +97,10 @@
     TimePoint requestedAt{};
   };
 
+  /* Queues the entry's next write, unless it is queued or in flight already. */
   void QueueWrite(const RequestId& aRequest, Entry& aEntry);
   void Erase(const RequestId& aRequest);
+  /* Sends the next batch, unless one is in flight or the next one must be delayed. */
   void SendBatch(Context& aContext);
   /* Compares an entry with the row that the table returned, and decides on its next write. */
   void ApplyRow(const RequestId& aRequest, const Row& aRow, std::vector<ClaimResult>& aResults);
--- a/src/decision/router/quarantine_base.h
+++ b/src/decision/router/quarantine_base.h
@@ -13,6 +13,7 @@
 class FingerprintSet
 {
 public:
+  /* Adds a fingerprint or replaces its expiry time. Does nothing while the set is full. */
   void Add(const FingerprintId& aFingerprint, TimePoint aUntil, TimePoint aNow);
   void Remove(const FingerprintId& aFingerprint) { mExpiries.erase(aFingerprint); }
   bool Contains(const FingerprintId& aFingerprint, TimePoint aNow) const;
--- a/src/decision/router/router_base.h
+++ b/src/decision/router/router_base.h
@@ -163,6 +163,7 @@
                      const RequestId& aRequest,
                      ResultCode aCode,
                      Duration aRetryAfter = {});
+  /* Queues the request and dispatches its target. A suspect is isolated instead. */
   void Enqueue(Context& aContext, View& aView, Request& aRequest);
   /* Starts waiting requests while endpoints are free. Sends a demand for those that remain, unless
    * the service is plain. */
@@ -207,6 +208,7 @@
   bool MayUseReplicas(const Context& aContext,
                       const Target& aTarget,
                       const Request& aRequest) const;
+  /* Removes an attempt that has ended from its endpoint and its target. */
   void ReleaseEndpoint(Request& aRequest);
   std::size_t CountInFlight(const EndpointId& aEndpoint) const;
   /* Erases targets, backoffs and contacts that are no longer in use. */
@@ -215,11 +217,16 @@
   void RefreshPlainReplicas(const Context& aContext, const View& aView, Target& aTarget) const;
 
   void OnCompleted(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
+  /* Records the final end of the claim, or releases it, after the attempt of an abandoned request
+   * has ended. */
   void OnAbandonedEnded(Context& aContext, Request& aRequest, const AttemptEnded& aEnded);
+  /* Updates the counters of the request, the view, the suspects and the backoff by the outcome of
+   * an attempt. */
   void RecordOutcome(Context& aContext, View& aView, Request& aRequest, AttemptOutcome aOutcome);
   /* Marks an answered or cancelled request as abandoned while its attempt is in flight. The attempt
    * of an at-most-once request runs on, any other is stopped. */
   void Abandon(Context& aContext, Request& aRequest);
+  /* Marks requests in flight on a crashed endpoint as suspects and notifies the other daemons. */
   void OnCrashed(Context& aContext, View& aView, const EndpointId& aEndpoint);
   /* Returns whether a suspect in flight runs alone, so that only it can have caused a crash. On a
    * plain service this covers the requests of this daemon only. */
@@ -227,8 +234,12 @@
   /* Returns whether the request's fingerprint is a suspect or quarantined, and its endpoints are
    * runners. */
   bool MustIsolate(const Context& aContext, const Request& aRequest) const;
+  /* Requests a runner on which the suspect runs alone. Refuses the suspect if it is quarantined or
+   * if too many requests of this daemon are isolated. */
   void Isolate(Context& aContext, View& aView, Request& aRequest);
+  /* Sends the holder an isolation request. Each has a new number. */
   void RequestIsolation(Context& aContext, View& aView, Request& aRequest);
+  /* Releases the runner that is reserved for the request, if any. */
   void EndIsolation(Context& aContext, View& aView, Request& aRequest);
   /* Repeats isolation requests, queues requests that are no longer suspects, and abandons attempts
    * whose reservation has ended. */
@@ -237,16 +248,20 @@
   void Broadcast(Context& aContext, const View& aView, const Message& aMessage) const;
   /* Quarantines the request's fingerprint on all daemons. Returns false if that is disabled. */
   bool QuarantineFingerprint(Context& aContext, View& aView, const Request& aRequest);
+  /* Queues the request again, or ends it with an error if no further attempt is allowed. */
   void Retry(Context& aContext, View& aView, Request& aRequest);
   static ResultCode FailureCode(const Request& aRequest, ResultCode aCodeIfNotRun);
+  /* Answers with the code, records the claim as unknown or releases it, and erases the request. */
   void Finish(Context& aContext, Request& aRequest, ResultCode aCode, Duration aRetryAfter = {});
   void Erase(const RequestId& aRequest);
   /* Removes the request from the deadlines, from its customer's count and from the queue or the
    * isolated requests if it waits there. Does nothing if it is abandoned, as Abandon() did so. */
   void RemoveFromQueues(Request& aRequest);
+  /* Removes the model's replica on the endpoint from the replicas of all targets. */
   void RemoveReplica(const EndpointId& aEndpoint, const ModelId& aModel);
   /* Confirms pending drains of the endpoint's models that have no attempt in flight there. */
   void ReportDrained(Context& aContext, View& aView, const EndpointId& aEndpoint);
+  /* Answers requests whose deadlines have passed, and abandons their attempts. */
   void ExpireDeadlines(Context& aContext);
   void ApplyClaimResult(Context& aContext, View& aView, const ClaimResult& aClaimResult);
   Target* FindTarget(const Request& aRequest);
--- a/src/decision/scheduler/scheduler.cpp
+++ b/src/decision/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-/* Passes events to the cells. */
+/* Passes events to the cells, and dumps their state for operators. */
 #include "decision/scheduler/scheduler_base.h"
 
 #include <algorithm>
