--- a/src/decision/scheduler/cell_isolation.cpp
+++ b/src/decision/scheduler/cell_isolation.cpp
@@ -30,7 +30,7 @@
 {
   IsolationGrantMessage grant{ .cell = mId,
                                .request = aIsolationRequest.request,
-                               .ask = aIsolationRequest.ask,
+                               .ask = aIsolationRequest.number,
                                .status = aStatus };
   if (aStatus == IsolationStatus::kGranted) {
     grant.runner = mIsolation->runner;
@@ -53,7 +53,7 @@
   const IsolationRequest isolationRequest{ .request = aRequest.request,
                                            .owner = aFrom,
                                            .artifact = aRequest.artifact,
-                                           .ask = aRequest.ask,
+                                           .number = aRequest.ask,
                                            .deadline = aContext.now() + aRequest.timeLeft,
                                            .expiresAt =
                                              aContext.now() + kIsolationRequestLifetime };
@@ -157,7 +157,7 @@
   const bool isDrainDue = mIsolation->nextDrainAt <= aContext.now();
   bool isDrained = true;
   for (auto& [model, replica] : mRunners.at(mIsolation->runner).replicas) {
-    replica.lastUsed = aContext.now(); // Prevents an unload during the isolation.
+    replica.lastUsed = aContext.now(); // Prevents an eviction for another model.
     std::erase_if(replica.permittedRouters, [&](const auto& aRouterPermission) {
       return aRouterPermission.second <= aContext.now();
     });
--- a/src/decision/scheduler/cell_order.cpp
+++ b/src/decision/scheduler/cell_order.cpp
@@ -11,7 +11,7 @@
 
 /* Interval between inventory orders to a runner that answers. */
 constexpr Duration kInventoryInterval = 2s;
-/* Delay before the first regular inventory order when fenced recovery is disabled. */
+/* Delay before the first inventory order if a test disables Mechanism::kInventoryBeforeUse. */
 constexpr Duration kFirstInventoryDelay = 60s;
 /* Boot id recorded for a runner whose process has ended. No process has this id. */
 constexpr const char* kEndedProcessBootId = "none";
@@ -68,11 +68,11 @@
   if (areOrdersUnchecked && !LeaseCoversOrderDelivery(aContext)) {
     return false;
   }
-  if (!aReplica.isIntentWritten && areOrdersUnchecked &&
+  if (!aReplica.isOrderWritten && areOrdersUnchecked &&
       aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
     return false;
   }
-  if (aReplica.isIntentWritten) {
+  if (aReplica.isOrderWritten) {
     return true;
   }
   if (!aContext.IsEnabled(Mechanism::kPlacementBeforeOrder)) {
@@ -238,7 +238,7 @@
       return;
     case OrderOutcome::kNoMemory:
     case OrderOutcome::kFailed:
-      if (aReplica.isReserved) {
+      if (aReplica.isReservedForFormerOrder) {
         aReplica.nextSendAt = aContext.now() + aContext.settings().orderRetryDelay;
         return;
       }
@@ -248,7 +248,7 @@
     case OrderOutcome::kConnectionRefused:
       aRunner.reachability = RunnerReachability::kUnreachable;
       aRunner.nextInventoryAt = aContext.now();
-      if (!aReplica.mayHaveReachedRunner && !aReplica.isReserved) {
+      if (!aReplica.mayHaveReachedRunner && !aReplica.isReservedForFormerOrder) {
         RemoveReplica(aRunner, model);
         return;
       }
@@ -268,7 +268,7 @@
                           Replica& aReplica,
                           const OrderResult& aResult)
 {
-  if (aResult.outcome == OrderOutcome::kDone && !aReplica.isReserved) {
+  if (aResult.outcome == OrderOutcome::kDone && !aReplica.isReservedForFormerOrder) {
     RemoveReplica(aRunner, ModelId{ aReplica.model });
     return;
   }
@@ -306,7 +306,7 @@
       replica.unloadableFrom = aContext.now() + LocationValidity(aContext);
       replica.phase = loaded.ready ? ReplicaPhase::kLoaded : ReplicaPhase::kLoading;
       replica.isOrderConfirmed = true;
-      replica.isIntentWritten = true;
+      replica.isOrderWritten = true;
       if (spec != aView.configuration().models.end()) {
         replica.memory = ReservedMemory(spec->second);
       }
@@ -348,15 +348,15 @@
     if (isInInventory || replica.phase == ReplicaPhase::kLoadDecided) {
       continue;
     }
-    if (replica.isReserved) {
+    if (replica.isReservedForFormerOrder) {
       replica.phase =
         replica.phase == ReplicaPhase::kLoaded ? ReplicaPhase::kLoading : replica.phase;
       replica.isOrderConfirmed = false;
       continue;
     }
     // Once a runner that checks the fencing token has answered an order of this term, it rejects
-    // all orders of former holders. A load of theirs that is not listed then never happens. A
-    // loaded replica has no load order in flight.
+    // all orders of former holders, so a load of theirs that the inventory does not list never
+    // happens. A loaded replica has no load order in flight.
     const bool areOrdersChecked = !AreOrdersUnchecked(aView);
     const bool isKnownMissing =
       isFromFormerHolder && (areOrdersChecked || replica.phase == ReplicaPhase::kLoaded);
@@ -369,15 +369,15 @@
   }
 }
 
-void Cell::ReleaseReservations(Context& aContext, const View& aView)
+void Cell::ReleaseFormerOrderReservations(Context& aContext, const View& aView)
 {
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
-      if (!replica.isReserved) {
+      if (!replica.isReservedForFormerOrder) {
         continue;
       }
       if (aView.IsProvenDead(aContext, replica.issuer)) {
-        replica.isReserved = false;
+        replica.isReservedForFormerOrder = false;
         continue;
       }
       if (mNextKeepAliveCheck <= aContext.now()) {
@@ -399,7 +399,7 @@
   for (auto& [id, runner] : mRunners) {
     for (auto& [model, replica] : runner.replicas) {
       if (replica.order == aWithdrawn.order && replica.issuer == aWithdrawn.issuer) {
-        replica.isReserved = false;
+        replica.isReservedForFormerOrder = false;
       }
     }
   }
