--- a/tests/fleet/dispatcher_test.cpp
+++ b/tests/fleet/dispatcher_test.cpp
@@ -1,4 +1,7 @@
-/* The dispatcher under load and faults, in simulated time. */
+/* The dispatcher under load and faults, in simulated time. It must assign requests soon, and it
+ * must never order more than a runner has memory, adapter slots or concurrent loads for. That is at
+ * risk whenever it does not know a runner's state: after it replaced another dispatcher, when
+ * answers to orders are lost, and when reports or entries are outdated. */
 #include "tests/fleet/fleet_world.h"
 
 #include <doctest/doctest.h>
@@ -9,6 +12,7 @@
 
 namespace {
 
+/* Checks that no accepted order exceeded a limit of its runner. */
 void CheckNoViolations(const FleetWorld& aWorld)
 {
   for (const std::string& violation : aWorld.violations) {
@@ -47,6 +51,8 @@
   CheckNoViolations(world);
 }
 
+// The load takes a second, and the requests wait that long. If the dispatcher did not count the
+// load in progress, it would unload other models to load this one at more runners.
 TEST_CASE("one request and a hundred requests for a model that no runner holds cause one load")
 {
   for (const int callers : { 1, 100 }) {
@@ -61,8 +67,10 @@
 
 TEST_CASE("an unload does not count as done while requests still use the model")
 {
-  // Requests that the former dispatcher assigned still run on every replica. The new dispatcher
-  // does not know of them.
+  // The former dispatcher assigned a request to each replica, and the new one does not know of
+  // these requests. A runner keeps a model in memory until its requests have ended. If the
+  // dispatcher counted an unload as done before that, it would plan with memory that is not free.
+  // Limit of this test: the requests end about 0.3 s before the new dispatcher may send orders.
   FleetWorld world({ .runners = 1, .models = 6 });
   world.requestDuration = 3s;
   for (const char* model : { "m0", "m1", "m2" }) {
@@ -77,6 +85,9 @@
   CHECK(world.runners[0].models.size() == 3);
 }
 
+// A report does not list a model that is still being loaded, so it shows more free memory than
+// there is. Limit of this test: the load takes 3 s and so ends before the new dispatcher may send
+// orders, 3.2 s after it replaced the former one.
 TEST_CASE("memory stays reserved for a load that a former dispatcher ordered")
 {
   FleetWorld world({ .runners = 1, .models = 6, .storeLoadTime = 3s, .areAllModelsOnDisk = false });
@@ -95,7 +106,8 @@
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 12 });
   const SimRunner before = world.runners[0];
   RequestAdapters(world, 1, 8, 100ms);
-  // An entry from before the adapters were loaded arrives late.
+  // All 8 adapter slots are full when an entry from before the adapters were loaded arrives late.
+  // If the dispatcher adopted it, it would load two more adapters without unloading any.
   const SimRunner after = world.runners[0];
   world.runners[0].models = before.models;
   world.SendEntry(0);
@@ -108,6 +120,8 @@
   CHECK(world.CountServed() == 10);
 }
 
+// The first order is the unload that frees memory for m5. If it was lost, it must be sent again. If
+// it was carried out, the load must follow.
 TEST_CASE("the runner's report shows whether an order without an answer was carried out")
 {
   for (const bool isCarriedOut : { true, false }) {
@@ -134,7 +148,7 @@
 {
   // The load of an adapter gets no answer, and neither does the unload after it. Then the runner
   // carries out the load, which increases its order count. The dispatcher must not conclude from
-  // the count that the unload was carried out.
+  // the count that the unload was carried out, or it would load m5 into memory that is not free.
   FleetWorld world({ .runners = 1, .models = 6, .adapters = 4 });
   int number = 0;
   world.orderOverride = [&](const RunnerOrder& aOrder) -> std::optional<OrderOutcome> {
@@ -158,6 +172,9 @@
   CHECK(world.LongestWait() < 4s);
 }
 
+// 40 % of the orders reach their runner 10 ms to 4 s late, and their answers are lost. Requests are
+// withdrawn meanwhile, so that the dispatcher goes on to other orders, and sometimes the dispatcher
+// is replaced.
 TEST_CASE("load: orders that are carried out late overload no runner")
 {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
@@ -212,6 +229,8 @@
   CHECK(world.runners[1].models.contains(ModelId{ "m0" }));
 }
 
+// The order lease may be changing hands or the store may be down. A request that needs a load must
+// not wait for its deadline of 20 s: it is refused after 6 s, so that the client can try again.
 TEST_CASE("without order permission, requests for held models are served and others are refused")
 {
   FleetWorld world({ .models = 12 });
@@ -234,6 +253,9 @@
   CheckNoViolations(world);
 }
 
+// The new dispatcher sees four idle adapters and unloads some of them. The runner accepts the order
+// but keeps the adapter until its requests have ended. Until a report shows the unload as done, the
+// slot must not be used for another adapter.
 TEST_CASE("an adapter in use by requests unknown to the dispatcher keeps its slot")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
@@ -288,6 +310,7 @@
   CHECK(lateRequests * 20 <= world.outcomes.size());
 }
 
+// The model is held, so no request waits for a load. The demand alone must bring more replicas.
 TEST_CASE("load: a model with one replica gets more replicas when demand moves to it")
 {
   FleetWorld world({ .runners = 6, .models = 18, .slots = 16 });
@@ -302,6 +325,8 @@
   CheckNoViolations(world);
 }
 
+// 10 % of the orders are lost with their answers. The dispatcher is replaced, runners restart, and
+// the order permission ends and returns.
 TEST_CASE("load: random faults never lead to orders that overload a runner")
 {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
@@ -337,6 +362,8 @@
   }
 }
 
+// The restarted runner has lost its models in memory and on disk. The dispatcher must fill its
+// memory again within 12 s, instead of only swapping models at the other runners.
 TEST_CASE("load: a restarted, empty runner is filled with requested models")
 {
   FleetWorld world({ .runners = 4, .models = 16, .storeLoadTime = 3s });
@@ -360,6 +387,8 @@
   CheckNoViolations(world);
 }
 
+// The dispatcher does not know this number. It must learn from slow loads to start fewer of them,
+// because all callers wait longer when many loads share the store. After 30 s, at most two may run.
 TEST_CASE("load: concurrent loads adapt to the number that the weight store serves at full speed")
 {
   FleetWorld world(
@@ -380,6 +409,8 @@
   CheckNoViolations(world);
 }
 
+// Reports show the end of a load 400 ms late. The dispatcher must assign requests when the load
+// should be done, and not too early, because the runner would refuse them.
 TEST_CASE("load: requests for a model that is swapped in do not wait for outdated reports")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
@@ -392,6 +423,8 @@
   CheckNoViolations(world);
 }
 
+// The dispatcher assumes that the load is done after the configured second and assigns the request.
+// The runner refuses it. From then on, the dispatcher must wait for a report.
 TEST_CASE("load: a load that takes longer than configured causes at most one refused request")
 {
   FleetWorld world({ .models = 12, .reportLag = 400ms });
@@ -419,6 +452,9 @@
   CheckNoViolations(world);
 }
 
+// An unload of an idle adapter is done when the runner answers. A report from before the unload
+// then shows the adapter and a lower order count. If the dispatcher adopted that count, the runner
+// would refuse the next order as a conflict.
 TEST_CASE("an outdated report does not restore an adapter that the runner unloaded at once")
 {
   FleetWorld world({ .runners = 1, .models = 3, .adapters = 8, .adapterSlots = 4 });
@@ -437,6 +473,8 @@
   CheckNoViolations(world);
 }
 
+// Concurrent adapter loads slow each other down. A runner may load only four adapters at a time,
+// and slow loads count for longer. The dispatcher must limit the loads of all runners together.
 TEST_CASE("load: adapter requests at many runners do not overload the weight store")
 {
   FleetWorld world({ .runners = 12, .models = 36, .adapters = 40, .fullSpeedAdapterLoads = 2 });
--- a/tests/fleet/fleet_message_test.cpp
+++ b/tests/fleet/fleet_message_test.cpp
@@ -1,5 +1,5 @@
-/* Encodes and decodes the messages between daemons and the lease row. Damaged messages are
- * rejected. */
+/* The encoding of the messages between daemons and of the lease row. A field that is lost or
+ * changed on the way misleads the receiver, and a truncated message must not end its process. */
 #include "fleet/fleet_message.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet/fleet_parts_test.cpp
+++ b/tests/fleet/fleet_parts_test.cpp
@@ -44,6 +44,8 @@
 
 } // namespace
 
+// A request on a non-idempotent route must not be sent again if it may have run, or it could run
+// twice. Other requests must not fail while they may be sent again.
 TEST_CASE("the next step after an attempt, by its result and the kind of route")
 {
   using enum AttemptEnd;
@@ -111,6 +113,8 @@
   }
 }
 
+// A refusal tells the client that its request has not run, so the client may send it again. After a
+// false refusal, the request could run twice.
 TEST_CASE("a request is refused only if no attempt may have run")
 {
   for (std::uint32_t runs = 0; runs <= 3; ++runs) {
@@ -130,6 +134,8 @@
   }
 }
 
+// The share is counted in slices of 1 s. Windows that begin anywhere, here every 500 ms, must stay
+// within it, too. The daemon's part of the slack is 50 retries / 10 daemons.
 TEST_CASE("retries stay within the share in every window")
 {
   RetryShare share;
@@ -174,6 +180,8 @@
   CHECK_FALSE(guard.IsQuarantined(kStart + 2s, suspect));
 }
 
+// An endpoint may pass its own health check and still fail requests. Some failures are normal and
+// must not take an endpoint out of use.
 TEST_CASE("an endpoint that fails 4 of 10 requests is avoided, one that fails 1 of 10 is not")
 {
   for (const int failures : { 1, 4 }) {
@@ -191,6 +199,7 @@
   }
 }
 
+// Only new requests can show that the endpoint has recovered. It is avoided for at most 4 s.
 TEST_CASE("an avoided endpoint gets requests again after a time")
 {
   EndpointHealth health;
@@ -201,6 +210,9 @@
   CHECK_FALSE(health.IsAvoided(kStart + 5s));
 }
 
+// During an outage, endpoints cannot renew their entries, although they still serve. If expired
+// entries counted at once, requests would find no endpoint. Entries return within about 2 s after
+// the outage, and the grace period is 2.3 s.
 TEST_CASE("an entry that expires during a store outage is kept for a grace period after the outage")
 {
   RunnerRegistry registry;
@@ -251,6 +263,8 @@
   CHECK(Choose(registry, kStart) == EndpointId{ "r2" });
 }
 
+// Runners reuse a prompt only from its beginning. A part that counts wrongly makes a runner look
+// faster than it is.
 TEST_CASE("a cached prompt part counts only if all parts before it are cached for the same model")
 {
   PromptCache cache;
--- a/tests/fleet/fleet_world.cpp
+++ b/tests/fleet/fleet_world.cpp
@@ -1,4 +1,5 @@
-/* A fleet in simulated time: runners that carry out orders and run requests. */
+/* A fleet in simulated time: the dispatcher under test, and runners that carry out its orders and
+ * run requests. */
 #include "tests/fleet/fleet_world.h"
 
 #include "core/overloaded.h"
@@ -16,7 +17,7 @@
 constexpr Duration kAdapterLoadDuration = 15ms;
 /* Adapters that one runner may load at the same time. */
 constexpr std::size_t kMaxLoadingAdapters = 4;
-constexpr Duration kRoundTrip = 3ms;
+constexpr Duration kRoundTrip = 3ms; ///< Time until the answer to an order or report request.
 constexpr Duration kTakeoverWait = 3'200ms; ///< Time after which a new dispatcher may send orders.
 
 } // namespace
--- a/tests/fleet/fleet_world.h
+++ b/tests/fleet/fleet_world.h
@@ -22,7 +22,7 @@
   std::uint32_t modelsPerRunner = 3; ///< Models that fit into the weight memory of a runner.
   std::uint32_t adapters = 0;        ///< Adapters of each model, named a1, a2, ...
   std::uint32_t adapterSlots = 8;    ///< Adapters that a runner can hold or load.
-  /* Adapter loads that the store serves at full speed. More loads slow each other down. */
+  /* Concurrent adapter loads that the store serves at full speed. With more, all take longer. */
   std::size_t fullSpeedAdapterLoads = 8;
   std::uint32_t slots = 64; ///< Requests that a runner can run at the same time.
   Duration storeLoadTime = 6s;
@@ -117,7 +117,7 @@
   std::vector<std::string> violations;
   std::uint64_t sentOrders = 0;        ///< Orders that the dispatcher sent.
   std::uint64_t startedStoreLoads = 0; ///< Model loads from the store that were started.
-  /* Model loads that the store serves at full speed. More loads slow each other down. */
+  /* Concurrent model loads that the store serves at full speed. With more, all take longer. */
   std::uint32_t fullSpeedStoreLoads = 100;
   Duration extraDiskLoadTime{};     ///< Time that loads from disk take beyond the configured time.
   std::uint64_t runnerRefusals = 0; ///< Requests assigned to a runner that did not hold the model.
--- a/tests/fleet/order_lease_test.cpp
+++ b/tests/fleet/order_lease_test.cpp
@@ -1,4 +1,7 @@
-/* The order lease under faults: orders of two different holders are at least the spacing apart. */
+/* The order lease under faults. Runners do not compare fencing tokens, so only the lease keeps the
+ * orders of two holders apart. They must be at least the spacing apart, also when processes end,
+ * restart or are suspended, when the store cannot be reached and when answers to writes are lost.
+ */
 #include "decision/fleet/order_lease.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +20,9 @@
 constexpr Duration kStep = 10ms;
 constexpr Duration kSpacing = 3s;
 
-/* The lease row in a store, and daemons that compete for the lease. */
+/* The lease row in a store, and daemons that compete for the lease. Reads and writes end within the
+ * step in which they begin. The daemons send each other no heartbeats, so they see each other only
+ * in the row. A daemon that may send orders is assumed to send one in each step. */
 class LeaseWorld
 {
 public:
@@ -126,8 +131,8 @@
     aDaemon.lease.OnWritten(now, version);
   }
 
-  /* Checks an order that the daemon sends now. Runners do not compare fencing tokens, so orders of
-   * two holders must be the spacing apart, besides having increasing tokens. */
+  /* Checks an order that the daemon sends now. If the order before it came from another daemon,
+   * that must be at least the spacing ago, and this daemon's fencing token must be higher. */
   void RecordOrder(const Daemon& aDaemon)
   {
     if (!lastSender.empty() && lastSender != aDaemon.name && now - lastOrderAt < kSpacing) {
@@ -152,6 +157,8 @@
   CHECK(world.violations.empty());
 }
 
+// The other daemons cannot tell an ended process from one that still sends orders. They must wait
+// before their first order, but not for ever.
 TEST_CASE("a holder whose process has ended is replaced, but not before the spacing has passed")
 {
   LeaseWorld world(3);
@@ -167,6 +174,9 @@
   CHECK(world.violations.empty());
 }
 
+// A suspended process still has the lease in its memory when it resumes, but another daemon has
+// taken the lease in the meantime. The time since the last renewal must stop its orders before it
+// reads the row again.
 TEST_CASE("a holder that was suspended sends no order when it resumes")
 {
   LeaseWorld world(2);
@@ -182,6 +192,8 @@
   CHECK(world.CountDaemonsThatMayOrder() == 1);
 }
 
+// The row still names this daemon as the holder, so no other daemon has sent orders since. Waiting
+// for the spacing as after a change of holders would only delay its orders.
 TEST_CASE("the last holder may send orders within a second after its process restarts")
 {
   LeaseWorld world(1);
@@ -192,6 +204,9 @@
   CHECK(world.violations.empty());
 }
 
+// A released lease needs no time-out, and the former holder sends no orders after the release. So
+// the next holder waits only for the delivery of the last orders and for the spacing: another
+// daemon may send orders 5 s after the release.
 TEST_CASE("a holder that shuts down releases the lease, and another daemon soon takes it")
 {
   LeaseWorld world(2);
@@ -206,6 +221,9 @@
   CHECK(world.violations.empty());
 }
 
+// After the outage, all daemons find a row that was not renewed for longer than the takeover delay.
+// If one of them took the lease at once, orders would stop for the spacing once more. So they first
+// give the holder time to renew.
 TEST_CASE("an outage of the store stops orders, and the same holder continues after it")
 {
   LeaseWorld world(3);
@@ -239,6 +257,8 @@
   CHECK(world.violations.empty());
 }
 
+// The daemons also release the lease at random times. After a write whose answer was lost, a daemon
+// does not know whether it holds the lease.
 TEST_CASE("random process ends, suspensions, outages and lost answers never break the spacing")
 {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
