--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -1,5 +1,6 @@
 /* An at-most-once request runs at most once when the table fails, loses answers or applies writes
- * late, and when daemons fail or shut down. */
+ * late, and when daemons fail or shut down. A daemon writes a claim for the idempotency key to the
+ * table before it runs such a request. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -36,7 +37,7 @@
     { "other daemon, in flight", 1, 500ms, "f", false, 1302 },
     { "other daemon, done", 1, 4s, "f", false, 1000 },
     { "other daemon, other body", 1, 4s, "g", false, 1303 },
-    { "other daemon, the first one failed", 1, 500ms, "f", true, 3102 },
+    { "other daemon, after the first daemon was killed", 1, 500ms, "f", true, 3102 },
   };
   for (const Case& row : cases) {
     INFO(row.name);
@@ -53,6 +54,7 @@
     }
     const RequestId second = world.SendRequest(KeyedRequest(row.fingerprint), row.daemon);
     if (row.pause == 500ms && row.daemon == 0) {
+      // The daemon itself runs the first request, so it needs no write to refuse the second one.
       CHECK(world.claimTransactions == writes);
     }
     world.Run(1s);
@@ -62,6 +64,8 @@
   }
 }
 
+// The daemon refuses the first request because it does not learn whether the claim was written. If
+// the write takes effect, at once or much later, its claim must not block the second request.
 TEST_CASE(
   "a request refused without a claim can be sent again, whether or not the claim was written")
 {
@@ -106,6 +110,9 @@
   CHECK(world.started.size() == 1);
 }
 
+// After each write with an unknown result, the daemon must remember the claims that may still
+// appear in the table. If it sent more claims during the outage, their number would grow without
+// limit.
 TEST_CASE("a long outage of the table leaves at most one batch of claims open")
 {
   World world({});
@@ -122,6 +129,8 @@
   CHECK(world.DumpOf("router.claims") == "0");
 }
 
+// The request is in flight at shutdown. Its answer is lost to later requests with the same key
+// unless the daemon writes it to the claim. The daemon must not wait for a failed table for ever.
 TEST_CASE(
   "a daemon that shuts down writes its claims, and keeps no requests open if the table is down")
 {
--- a/tests/unit/contract_endpoint_test.cpp
+++ b/tests/unit/contract_endpoint_test.cpp
@@ -55,7 +55,7 @@
   const httplib::Headers notLoaded{ { "X-Refusal", "not-loaded" } };
   const std::string eventStreamType = "text/event-stream";
   return {
-    { "whole", kBuffered, { .body = "{}", .headers = ownId }, kCompleted },
+    { "complete", kBuffered, { .body = "{}", .headers = ownId }, kCompleted },
     { "answer to another request",
       kBuffered,
       { .body = "{}", .headers = otherId },
@@ -75,17 +75,17 @@
       { .body = kCompleteStream, .contentType = eventStreamType },
       kCompleted,
       3 },
-    { "no end mark",
+    { "stream without end mark",
       kStream,
       { .body = kStreamWithoutEnd, .contentType = eventStreamType },
       kIncomplete,
       2 },
-    { "end mark, then cut",
+    { "stream, truncated after the end mark",
       kStream,
       { .body = kCompleteStream, .fault = kTruncated, .contentType = eventStreamType },
       kCompleted,
       3 },
-    { "cut",
+    { "stream, truncated before the end mark",
       kStream,
       { .body = kStreamWithoutEnd, .fault = kTruncated, .contentType = eventStreamType },
       kIncomplete,
@@ -100,7 +100,7 @@
       { .body = kCompleteStream, .headers = otherId, .contentType = eventStreamType },
       kForeignAnswer,
       0 },
-    { "silent", kStream, { .body = kCompleteStream, .fault = kLate }, kTimedOut, 0 },
+    { "late stream", kStream, { .body = kCompleteStream, .fault = kLate }, kTimedOut, 0 },
   };
 }
 
@@ -146,6 +146,8 @@
   CHECK(server.callCount() == 0);
 }
 
+// The caller already has event a. The first engine continues after it, and the second one sends all
+// events again.
 TEST_CASE("a resumed stream has each event once, whether or not the engine honours the offset")
 {
   const std::string eventStreamType = "text/event-stream";
@@ -165,6 +167,8 @@
   }
 }
 
+// The buffer holds 256 KiB. Without the limit, a caller that reads slowly would make it grow. A
+// stop must end the wait, or the thread of the attempt would stay blocked.
 TEST_CASE(
   "a full stream buffer blocks the attempt until the caller reads or the attempt is stopped")
 {
@@ -186,6 +190,8 @@
   CHECK(session->delivered() <= 9);
 }
 
+// If a faulty answer counted as a result, the scheduler would plan with models that the runner does
+// not hold, or with memory that is not free.
 TEST_CASE("an order's outcome is unknown unless the answer states it or the order was not sent")
 {
   struct Case
--- a/tests/unit/contract_peer_test.cpp
+++ b/tests/unit/contract_peer_test.cpp
@@ -1,4 +1,5 @@
-/* Messages between daemons over real connections. */
+/* Messages between daemons over real connections. A socket with a full send buffer takes only a
+ * part of a message. The rest must follow when the peer has read, and no message may be lost. */
 #include "peer/peer_transport.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit/contract_platform_test.cpp
+++ b/tests/unit/contract_platform_test.cpp
@@ -50,6 +50,8 @@
 
 } // namespace
 
+// A transaction with a faulty answer may have taken effect. It must count as unknown, and the
+// client must not send it again by itself: each server gets one call.
 TEST_CASE("a transaction is committed or in conflict only with a complete answer for its rows")
 {
   std::vector<Case> cases = CommonCases(kAbsentRow);
--- a/tests/unit/event_log_test.cpp
+++ b/tests/unit/event_log_test.cpp
@@ -71,7 +71,7 @@
   CHECK(lines[0]["id"] == "e0");
 }
 
-TEST_CASE("the number of lines is limited for each event, and omitted lines are counted")
+TEST_CASE("the number of lines is limited for each event, and lines that are left out are counted")
 {
   Pipe pipe;
   EventLog log(
@@ -85,7 +85,9 @@
   CHECK(log.leftOut() == 90);
 }
 
-TEST_CASE("lines are omitted when the reader does not read, and writing does not block")
+// The log may be a pipe to another process. The daemon must not stop while that process does not
+// read.
+TEST_CASE("lines are left out when the reader does not read, and writing does not block")
 {
   Pipe pipe;
   EventLog log({ .daemon = "d0",
--- a/tests/unit/fair_queue_test.cpp
+++ b/tests/unit/fair_queue_test.cpp
@@ -8,6 +8,9 @@
 using namespace rhubarbtrail;
 using namespace rhubarbtrail::test;
 
+// The urgent request is ahead of all requests of lower priority. Customers of equal priority take
+// turns, in proportion to their weights. So for a customer without waiting requests, one request of
+// each other customer counts, or half of one if its own weight is 2.
 TEST_CASE("the number of requests ahead depends on the backlog of the same customer")
 {
   struct Case
@@ -43,6 +46,8 @@
   CHECK(!queue.LastRequestOf(CustomerId{ "nobody" }));
 }
 
+// The large customer alone exceeds the daemon's queue limit of 100. A request of a small customer
+// must be queued nevertheless, in place of a request of the large one.
 TEST_CASE(
   "a large customer does not fill the daemon's queue or delay a small one past its deadline")
 {
@@ -93,6 +98,8 @@
   CHECK(world.CodeOf(longDeadline) == 1000);
 }
 
+// The first request takes 10 s, and the second one has only 2 s left. It can start at once and may
+// take much less time, so it must not be refused because of the first one.
 TEST_CASE("long service times of earlier requests cause no refusal while slots are free")
 {
   World world({});
--- a/tests/unit/layering_test.cpp
+++ b/tests/unit/layering_test.cpp
@@ -1,5 +1,7 @@
 /* Checks the include lines of the decision library: of this project only src/core and src/decision,
- * no external libraries, and no standard headers for I/O, threads or random numbers. */
+ * none of the external libraries listed below, and no standard headers for I/O, threads or random
+ * numbers. Decisions must depend only on the events and times passed in, so that tests can run them
+ * in simulated time. */
 #include <doctest/doctest.h>
 
 #include <array>
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,5 +1,6 @@
-/* A request that crashes runners is quarantined after two crashes. Other requests that were in
- * flight at the same runners are not. */
+/* A request that crashes runners is quarantined after two crashes. Every request in flight at a
+ * crashed runner may have caused the crash and becomes a suspect. Suspects run isolated, that is,
+ * alone at a runner, so only the crashing request causes a second crash there. */
 #include "tests/unit/router_world.h"
 
 #include <doctest/doctest.h>
@@ -92,6 +93,8 @@
   }
 }
 
+// Otherwise the suspect's second crash would end these requests, too, and it would not be certain
+// which request caused it.
 TEST_CASE("the runner of an isolated suspect gets no other requests")
 {
   World world({ .daemons = 3 });
@@ -116,6 +119,8 @@
   CHECK(world.finished.size() == 104);
 }
 
+// The only runner is reserved for the suspect, whose second attempt does not end. If the
+// reservation outlived the failed daemon, the runner would never serve another request.
 TEST_CASE("an isolated runner is released when the daemon of its suspect fails")
 {
   World world({ .daemons = 3 });
@@ -140,6 +145,8 @@
   CHECK(world.CodeOf(blocked) == 1000);
 }
 
+// The daemon that gets the release tells the others by a ConvictedMessage without validity, which
+// must remove the fingerprint. A daemon that took it for a conviction would refuse its requests.
 TEST_CASE("a release from quarantine by an operator does not refuse waiting requests")
 {
   World world({ .daemons = 2 });
--- a/tests/unit/replica_count_test.cpp
+++ b/tests/unit/replica_count_test.cpp
@@ -1,4 +1,6 @@
-/* The target number of replicas follows demand with hysteresis. */
+/* The target number of replicas follows demand with hysteresis: a replica is added after 2 s of too
+ * many requests and removed after 60 s in which one fewer is enough. Otherwise, each short peak
+ * would cost a load. */
 #include "decision/scheduler/replica_count_policy_base.h"
 
 #include <doctest/doctest.h>
@@ -31,6 +33,7 @@
     { "overload up to the limit", overload, 2, 2 },
     { "a short dip", dip, 4, 4 },
     { "an overload that has ended", ended, 4, 1 },
+    // Four replicas run 64 requests. 30 exceed half of the 48 that three would run.
     { "too much for one replica fewer", between, 4, 4 },
   };
   for (const Row& row : rows) {
@@ -67,6 +70,8 @@
   CHECK(policy.target() == 1);
 }
 
+// A new holder of the cell knows no demand yet. With the initial target of 1, it would have too
+// many replicas and could remove those that its predecessor added.
 TEST_CASE("a new holder raises the target to the replicas that it finds")
 {
   ReplicaCountPolicy policy;
--- a/tests/unit/router_fault_test.cpp
+++ b/tests/unit/router_fault_test.cpp
@@ -16,6 +16,8 @@
 
 } // namespace
 
+// An at-most-once request must not be repeated if its first attempt may have run: the client gets
+// code 3101, outcome unknown. Otherwise a failed attempt is repeated, except after a rejection.
 TEST_CASE("each outcome of a first attempt leads to the right result code and number of attempts")
 {
   struct Case
@@ -34,12 +36,12 @@
     { "not connected, at most once", kNotConnected, true, 1000, 2 },
     { "not run", kNotRun, false, 1000, 2 },
     { "not run, at most once", kNotRun, true, 1000, 2 },
-    { "cut", kIncomplete, false, 1000, 2 },
-    { "cut, at most once", kIncomplete, true, 3101, 1 },
-    { "silent", kTimedOut, false, 1000, 2 },
-    { "silent, at most once", kTimedOut, true, 3101, 1 },
-    { "mismatched", kForeignAnswer, false, 1000, 2 },
-    { "mismatched, at most once", kForeignAnswer, true, 3101, 1 },
+    { "incomplete", kIncomplete, false, 1000, 2 },
+    { "incomplete, at most once", kIncomplete, true, 3101, 1 },
+    { "timed out", kTimedOut, false, 1000, 2 },
+    { "timed out, at most once", kTimedOut, true, 3101, 1 },
+    { "answer to another request", kForeignAnswer, false, 1000, 2 },
+    { "answer to another request, at most once", kForeignAnswer, true, 3101, 1 },
     { "rejected", kRejected, false, 3103, 1 },
     { "rejected, at most once", kRejected, true, 3101, 1 },
     { "crashed", kCrashed, false, 1000, 2 },
@@ -65,6 +67,8 @@
   }
 }
 
+// The client was told that the outcome is unknown. When it sends the request again, it must get the
+// answer and not a second run.
 TEST_CASE("an answer that arrives after the deadline of its request becomes the stored answer")
 {
   World world({});
@@ -103,6 +107,8 @@
   CHECK(world.ClaimOf("k") == nullptr);
 }
 
+// The holder's refusal applies to requests with less than 5 s left. The others may still get a
+// replica in time and must keep waiting.
 TEST_CASE("a full cell refuses requests with too little time left, and no others")
 {
   World world({ .runners = 0 });
@@ -170,6 +176,8 @@
   CHECK(world.CodeOf(third) == 1000);
 }
 
+// A refused attempt has not run, so refusals must not use up the attempts of a request. The router
+// must not repeat them without a pause either: on average at most 8 attempts for each request.
 TEST_CASE("requests that a runner refuses while it lacks the model all succeed later")
 {
   World world({});
@@ -190,6 +198,8 @@
   CHECK(world.started.size() <= 32 * 8);
 }
 
+// The replica gets no new request for longer than its keep-alive limit of 15 s, but it runs one for
+// 90 s. It must not count as idle.
 TEST_CASE("a replica is not drained during a long request")
 {
   World world({ .configure = [](Configuration& aConfiguration, DecisionSettings&) {
--- a/tests/unit/view_test.cpp
+++ b/tests/unit/view_test.cpp
@@ -1,4 +1,5 @@
-/* When a daemon considers another one's process proven dead, although the host list lags. */
+/* When a daemon considers the process of another daemon proven dead. The host list lags, so a
+ * daemon that has just started may be missing from it. */
 #include "decision/view/view_base.h"
 
 #include <doctest/doctest.h>
--- a/tests/unit/wake_test.cpp
+++ b/tests/unit/wake_test.cpp
@@ -1,4 +1,5 @@
-/* Work that is overdue is done at the next event of any kind. */
+/* Work that is overdue is done at the next event of any kind. In a busy daemon, other events can be
+ * handled before the timer's, and the work, here a heartbeat, must not be delayed further. */
 #include "decision/decision.h"
 
 #include <doctest/doctest.h>
