--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -24,7 +24,7 @@
 /* A test fails when an expected event has not happened within this time. */
 constexpr auto kTestTimeout = std::chrono::seconds{ 10 };
 
-/* Runs the loop until a condition holds. Returns false when it does not hold within the time limit.
+/* Runs the loop until a condition holds. Returns false when it does not hold within kTestTimeout.
  */
 template<typename Condition>
 bool RunUntil(asio::io_context& aLoop, const Condition& aCondition)
@@ -178,6 +178,8 @@
 
 } // namespace
 
+/* Guards against request smuggling: if the server and a proxy in front of it disagree where a
+ * request ends, bytes of one client's body are run as another request. */
 TEST_CASE("requests with ambiguous or invalid framing are rejected and not delivered")
 {
   const std::vector<std::pair<std::string, std::string>> cases{
@@ -247,6 +249,8 @@
   CHECK(RunUntil(fixture.loop, [&] { return fixture.disconnectCount == 1; }));
 }
 
+/* The server must keep the second request, which arrives in the same bytes as the first, until the
+ * first is answered. Otherwise it is lost, or its answer can overtake the first answer. */
 TEST_CASE("pipelined requests are handled one after the other")
 {
   ServerFixture fixture;
@@ -259,12 +263,14 @@
   CHECK(fixture.requests[1].target == "/2");
 }
 
+/* Guards against a server in which each idle connection occupies a thread or another resource that
+ * a new connection needs. */
 TEST_CASE("a new connection is served while many connections are idle")
 {
   ServerFixture fixture;
   std::vector<std::unique_ptr<tcp::socket>> open;
-  for (int number = 0; number < 400;
-       ++number) { // Both ends stay below the usual limit of 1024 descriptors.
+  // The 800 descriptors of both ends stay below the usual limit of 1024.
+  for (int number = 0; number < 400; ++number) {
     open.push_back(fixture.Connect());
   }
   REQUIRE(RunUntil(fixture.loop, [&] { return fixture.server.counts().connections == 400; }));
@@ -273,6 +279,8 @@
   CHECK(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
 }
 
+/* A connection is not idle when the bytes of a request have reached its socket but have not been
+ * read yet. Closing it would lose the request. */
 TEST_CASE("closing idle connections keeps a connection on which a request has arrived")
 {
   ServerFixture fixture;
@@ -280,14 +288,15 @@
   auto busy = fixture.Connect();
   REQUIRE(RunUntil(fixture.loop, [&] { return fixture.server.counts().connections == 2; }));
   asio::write(*busy, asio::buffer(std::string{ "GET / HTTP/1.1\r\nHost: h\r\n\r\n" }));
-  std::this_thread::sleep_for(
-    std::chrono::milliseconds{ 50 }); // Until the request has arrived over loopback.
+  // The request arrives over loopback, but the loop does not run and reads nothing.
+  std::this_thread::sleep_for(std::chrono::milliseconds{ 50 });
   fixture.server.CloseIdle();
   REQUIRE(RunUntil(fixture.loop, [&] { return fixture.requests.size() == 1; }));
   CHECK(fixture.server.counts().connections == 1);
   CHECK_FALSE(fixture.server.IsDrained());
 }
 
+/* With a final chunk, the client would take the part of the answer that it got for the whole. */
 TEST_CASE("an aborted chunked answer has no final chunk")
 {
   ServerFixture fixture;
@@ -306,6 +315,8 @@
   CHECK(answer.ends_with("4\r\npart\r\n"));
 }
 
+/* An endpoint may send a second answer after the expected one. If the connection were reused, the
+ * surplus bytes would be read as the answer to the next request. */
 TEST_CASE("a connection is reused after a complete answer, but not after surplus bytes")
 {
   ScriptedEndpoint clean({ Answer("a"), Answer("b") });
@@ -330,6 +341,8 @@
   CHECK(endpoint.connectionCount == 2);
 }
 
+/* The caller of the client recognizes an answer to another request by a header field, here X-Id.
+ * The client then discards this answer and reads the next one from the same connection. */
 TEST_CASE("an answer to another request is skipped")
 {
   ScriptedEndpoint endpoint({ Answer("other", "X-Id: 1\r\n") + Answer("mine", "X-Id: 2\r\n") });
@@ -337,6 +350,8 @@
   CHECK(endpoint.body == "mine");
 }
 
+/* The end of the connection ends an answer correctly only if the answer states no length and is not
+ * chunked. */
 TEST_CASE("a truncated answer is broken, and an answer without a length ends with its connection")
 {
   ScriptedEndpoint cut({ "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf" });
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -125,6 +125,8 @@
   CHECK_FALSE(configuration->Find(ServiceId{ "s2" })->engine.has_value());
 }
 
+/* The platform may add kinds of routes. A request of an unknown kind may have effects, so running
+ * it twice could do harm. */
 TEST_CASE("a route of unknown kind may be neither repeated nor resumed")
 {
   const auto configuration =
@@ -133,6 +135,8 @@
   CHECK_FALSE(configuration->Match("h", "/a/x")->MayRepeatOrResume());
 }
 
+/* A client must not set fields by which a daemon controls an endpoint. Connection fields concern
+ * only the connection between client and daemon, including those that Connection names. */
 TEST_CASE("daemon-only and connection fields of a client are not forwarded, and all others are")
 {
   const http::Request request{ .method = "POST",
@@ -180,6 +184,8 @@
   }
 }
 
+/* An answer counts as not run only with status 421 or X-Not-Executed. If a plain 503 counted as not
+ * run, the daemon could repeat a request that has run. */
 TEST_CASE("an endpoint's answer is classified by its status and header fields")
 {
   const auto refusal = DecodeEndpointAnswer(
@@ -219,6 +225,8 @@
   CHECK(DecodeEventId("data: id: 5\n\n").empty());
 }
 
+/* Guards against use of the platform's names elsewhere: a change of its interface must need changes
+ * only in src/platform. */
 TEST_CASE("names of the platform's interface occur only in the platform adapter")
 {
   constexpr std::array kNames{ "X-Target-Instance", "X-Not-Executed", "X-Response-Signature",
