--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -1,5 +1,6 @@
-/* The fault matrix: every single fault at every step, then two or three faults chosen by seeds. The
- * seeds are printed. */
+/* The fault matrix: simulated daemons under every single fault at every step, then under two or
+ * more faults chosen by seeds, which are printed. A scenario fails when the simulation records a
+ * violated invariant. World::RecordViolation() in world.h lists the invariants. */
 #include "tests/matrix/world.h"
 
 #include <doctest/doctest.h>
@@ -129,19 +130,19 @@
   CHECK(tally.violations.empty());
 }
 
-/* Seeds that once violated an invariant. Each failed until its cause was fixed. */
+/* Seeds that once violated an invariant. Each failed until its cause was fixed. The causes are
+ * listed below, but not which seed found which. */
 TEST_CASE("matrix: seeds that failed before")
 {
   Tally tally;
-  // These failures were found:
-  // - A stream was cut after an inventory had failed.
+  // - A failed inventory caused a stream to be cut.
   // - A replica was lost after a takeover.
   // - A claim was released after its request had been quarantined.
   // - A request that had run was reported as not run.
   // - A placement was not written again after the answer to its first write had been lost.
   // - An inventory older than an order was used.
   // - The notice that an endpoint was leaving was lost.
-  // - A host list was older than the one that had listed an endpoint as leaving.
+  // - A host list arrived that was older than the one that had listed an endpoint as leaving.
   // - The simulation froze a host after the faults had ended.
   // - A router counted the time without an answer from the holder also while it sent no placement
   //   requests.
@@ -187,12 +188,12 @@
   const char* invariant;
   std::vector<Fault> faults = {}; ///< Empty: chosen by the seed, as in RandomScenario().
   OrderCheck check = OrderCheck::kChecked;
-  std::uint64_t firstSeed = 1;
+  std::uint64_t firstSeed = 1; ///< Seed from which the search starts.
 };
 
 const Mutation kMutations[]{
   { Mechanism::kInventoryBeforeUse,
-    "fenced recovery",
+    "inventory before use",
     "replicas",
     { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition },
     OrderCheck::kChecked,
@@ -202,12 +203,12 @@
     "replicas",
     { Fault::kTableDown, Fault::kTableDown, Fault::kDaemonCrash, Fault::kRunnerPartition } },
   { Mechanism::kFormerOrderReservation,
-    "reserved intent",
+    "former order reservation",
     "written order",
     { Fault::kDaemonFreeze, Fault::kEndpointCrash, Fault::kEndpointCrash, Fault::kEndpointCrash },
     OrderCheck::kUnchecked,
     1'225 },
-  { Mechanism::kPlacementBeforeOrder, "written intent", "written order" },
+  { Mechanism::kPlacementBeforeOrder, "placement before order", "written order" },
   { Mechanism::kMemoryReservation, "memory reservation", "memory" },
   { Mechanism::kDrainBeforeUnload, "drain before unload", "cut stream" },
   { Mechanism::kDemandMerging, "demand merging", "replicas" },
@@ -256,6 +257,8 @@
   CHECK_FALSE(found.empty());
 }
 
+/* Guards against invariant checks that detect nothing: without the mechanism, one of the scenarios
+ * must violate the invariant, or the matrix would also pass if the mechanism were broken. */
 TEST_CASE("matrix: disabling a mechanism violates its invariant")
 {
   for (const Mutation& mutation : kMutations) {
--- a/tests/matrix/world.h
+++ b/tests/matrix/world.h
@@ -41,14 +41,14 @@
   kDaemonPartition,     ///< A daemon cannot reach peers, table or endpoints, or several of these.
   kLossyNetwork,        ///< Half of the runs return no bytes, and 30 % of the messages are lost.
   kTableDown,           ///< The table service does not answer.
-  kTableSlow,           ///< The table service answers late, in part after the time limit.
+  kTableSlow,           ///< The table service answers up to 1.4 s late. Calls time out after 1 s.
   kTableAnswerLost,     ///< Half of the answers to table transactions are lost.
   kSlowLoads,           ///< Loading a model takes six times as long.
   kEndpointCrash,       ///< An endpoint loses its process and starts again.
   kEndpointLeaving,     ///< An endpoint announces that it is leaving, and ends 7 s later.
   kStaleHostList,       ///< An endpoint leaves while the daemons get host lists that are 8 s old.
   kConcurrentOperators, ///< Two operators change the configuration at the same time.
-  kLateOrders,          ///< Orders arrive late, in part after the time limit.
+  kLateOrders,          ///< Orders arrive up to 990 ms late. They time out after 900 ms.
   kRunnerPartition,     ///< A runner keeps running but cannot be reached.
   kCount,
 };
@@ -63,8 +63,8 @@
   std::vector<Fault> faults;
   OrderCheck check = OrderCheck::kChecked; ///< Whether the runners check fencing tokens.
   MechanismSet disabled;
-  Duration faultStartWindow =
-    1500ms; ///< Faults begin from 100 ms before the step to this time after it.
+  /* Faults begin at random times from 100 ms before the start of the step to this time after it. */
+  Duration faultStartWindow = 1500ms;
 };
 
 /* Result of the run of one scenario. */
@@ -266,8 +266,8 @@
   Duration mMaxTableDelay{};              ///< Upper limit of the delay added in each direction.
   double mLostTableAnswerProbability = 0; ///< Probability that the answer to a transaction is lost.
   double mSilentRunProbability = 0;       ///< Probability that a run returns no bytes.
-  double mLostMessageProbability =
-    0;                        ///< Probability that a message or an answer to an order is lost.
+  /* Probability that a message or an answer to an order is lost. */
+  double mLostMessageProbability = 0;
   double mLoadTimeFactor = 1; ///< Multiplies the time that a model load takes.
 };
 
