--- a/tests/process/test_faults_daemon.py
+++ b/tests/process/test_faults_daemon.py
@@ -27,6 +27,11 @@
 
 
 def test_sigterm_cuts_off_no_request() -> None:
+    """Stops the lease holder while it has streams, loads and a payment in flight.
+
+    All of them must end with success before the process exits with 0. An idle connection must not
+    keep the process from exiting, and the other daemons must be able to load models afterwards.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster, concurrency=2, ledgers=1,
                                 runner_options=("--token-ms", "20"))
@@ -54,6 +59,11 @@
 
 
 def test_caller_that_never_reads_does_not_hold_up_shutdown_for_ever() -> None:
+    """Stops a daemon whose stream cannot end, because the caller never reads it.
+
+    The request must not keep the daemon from exiting. shutdown_limit is 1 s here, and the test
+    waits 30 s for the exit.
+    """
     with Cluster() as cluster:
         daemon = start_cluster(cluster, daemons=1, shutdown_limit=1_000,
                                runner_options=("--token-ms", "0"))[0]
@@ -67,6 +77,11 @@
 
 
 def test_caller_that_goes_frees_the_engine() -> None:
+    """Closes the caller's connection in the middle of a stream of 100,000 tokens.
+
+    The daemon must stop the run on the runner and forget the request. Otherwise the runner would
+    generate tokens for nobody until the end.
+    """
     with Cluster() as cluster:
         daemon = start_cluster(cluster, daemons=1, runner_options=("--token-ms", "20"))[0]
         body = b'{"model":"m0","stream":true,"max_tokens":100000,"messages":[]}'
@@ -80,6 +95,11 @@
 
 
 def test_leaving_endpoint_gets_no_new_work() -> None:
+    """Lets a runner or ledger leave, announced by the host list or by the endpoint itself.
+
+    An endpoint that ends loses the requests that it still gets. From 3 s after the announcement it
+    must get no request and no load from any daemon, while all requests succeed elsewhere.
+    """
     def check(notice_source: str, role: str) -> None:
         lag = ("--host-lag-ms", "1000" if notice_source == "host list" else "60000")
         with Cluster() as cluster:
@@ -113,6 +133,11 @@
 
 
 def test_configuration_reaches_every_daemon() -> None:
+    """Changes the configuration at one daemon, and then at all daemons at the same time.
+
+    Every daemon must get the change, also one that starts while the table is down. Of the
+    simultaneous changes based on the same version, only one may be accepted.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster)
         two_customers = configuration_document(customers=("families", "nannies"))
@@ -138,6 +163,11 @@
 
 
 def test_paused_daemon_never_serves_by_an_old_configuration_for_long() -> None:
+    """Removes a customer while a daemon is paused.
+
+    When resumed, the daemon still has the configuration with the customer. After freshness_limit it
+    must refuse the customer's requests, with 403 or, while it has no newer configuration, with 503.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster)
         assert cluster.apply_configuration(
@@ -153,6 +183,7 @@
 
 
 def test_silent_daemon_does_not_hold_up_the_others() -> None:
+    """Pauses the lease holder: loads and configuration changes must work without it."""
     with Cluster() as cluster:
         daemons = start_cluster(cluster)
         assert chat(daemons[0]).status == 200
@@ -192,6 +223,11 @@
 
 
 def test_bad_input_is_refused_with_bounded_memory() -> None:
+    """Sends oversized and malformed input to the caller and peer ports.
+
+    The daemon must not buffer such input: its memory grows by less than 40 MB. It must still serve
+    valid requests beside 120 idle connections.
+    """
     head = b"POST " + CHAT.encode() + b" HTTP/1.1\r\nHost: x\r\n"
     chunk = b"10000\r\n" + b"x" * 0x10000 + b"\r\n"
     frame = b"\x00\x40\x00\x00\x00\x00\x00\x00\x01" + b"x" * 0x4000
@@ -217,7 +253,7 @@
         for port, status, parts in cases:
             answer = exchange(daemon.addresses[port], parts)
             case = (port, status, parts[0][:80], answer[:200])
-            # The answer may be lost: the daemon closes the connection with input still unread.
+            # The answer may be lost: closing with unread input can reset it.
             assert answer == b"" or status in answer.split(b"\r\n")[0] or port == "peer", case
             assert chat(daemon).status == 200, case
             assert resident_mb(daemon) < before + 40, (case, before, resident_mb(daemon))
--- a/tests/process/test_faults_load.py
+++ b/tests/process/test_faults_load.py
@@ -18,6 +18,10 @@
 
 
 def test_holder_lost_in_the_middle_of_a_load() -> None:
+    """Kills or pauses the lease holder while a runner loads a model for a waiting request.
+
+    The next holder must find the load that its predecessor ordered, and must not order another.
+    """
     def check(orders: str, loss: str) -> None:
         with Cluster() as cluster:
             daemons = start_cluster(cluster, orders=orders)
@@ -47,6 +51,11 @@
 
 
 def test_runner_lost_in_the_middle_of_a_load() -> None:
+    """Kills a runner in the middle of a load; in one case it restarts under the same name.
+
+    The waiting request must be served by a new load. A holder that did not notice the restart would
+    wait for a load that the new process does not know.
+    """
     def check(loss: str) -> None:
         with Cluster() as cluster:
             daemons = start_cluster(cluster)
@@ -68,6 +77,11 @@
 
 
 def test_lost_answers_to_orders_and_table_calls_make_no_second_load() -> None:
+    """Loses or delays the answers to orders and to table transactions.
+
+    Without an answer a daemon cannot know whether its call took effect, and repeats it. Each of the
+    three models must still be loaded only once.
+    """
     def check(orders: str, on_runner: dict, on_table: dict) -> None:
         with Cluster() as cluster:
             daemons = start_cluster(cluster, orders=orders)
@@ -89,6 +103,11 @@
 
 
 def test_paused_runner_does_not_hold_up_orders_to_others() -> None:
+    """Pauses as many runners as there are order threads (2).
+
+    A call to a paused runner holds an order thread until its timeout. Loads on the other two
+    runners must still succeed.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster, runners=4, order_threads=2)
         cluster.processes["runner-0"].pause()
@@ -104,6 +123,11 @@
 
 
 def test_long_table_outage() -> None:
+    """Keeps the table down for longer than two lease lengths.
+
+    Loaded models must stay available. A new model may be loaded only where runners check fencing
+    tokens. Elsewhere an order must first be recorded in the table.
+    """
     def check(orders: str) -> None:
         with Cluster() as cluster:
             daemons = start_cluster(cluster, orders=orders)
@@ -137,6 +161,11 @@
 
 
 def test_crashed_runner_that_stays_on_the_list_does_not_keep_its_models() -> None:
+    """Kills a runner without removing it from the host list.
+
+    The daemons must find out by themselves that its replica is gone, and load the model elsewhere.
+    The load on the crashed runner is not counted, because its journal is lost.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster, runners=3)
         assert chat(daemons[0]).status == 200
--- a/tests/process/test_faults_request.py
+++ b/tests/process/test_faults_request.py
@@ -18,6 +18,12 @@
 
 
 def test_interrupted_stream_reaches_the_caller_whole() -> None:
+    """Cuts or silences streams at token 5.
+
+    The daemon must continue it with another attempt, from that token or from the start, and the
+    caller must get the same bytes as without the fault: none missing and none twice. When every
+    attempt is cut, the stream must end with an error event and without [DONE].
+    """
     def check(faults: dict, is_whole: bool) -> None:
         with Cluster() as cluster:
             daemon = start_cluster(cluster, daemons=1)[0]
@@ -43,6 +49,10 @@
 
 
 def test_engine_killed_in_the_middle_of_a_stream() -> None:
+    """Kills the runner: the caller must get the stream complete from the other runner.
+
+    The killed runner's journal is lost, so only the run on the other one is counted.
+    """
     with Cluster() as cluster:
         daemon = start_cluster(cluster, daemons=1, runner_options=("--token-ms", "30"))[0]
         undisturbed = chat(daemon, tokens=40, stream=True)
@@ -56,6 +66,11 @@
 
 
 def test_crossed_answers_are_never_passed_on() -> None:
+    """Lets runners answer with the id of another request.
+
+    The caller must never get such an answer. After one from each runner, another attempt must
+    succeed. If all answers are crossed, the request must end with 502.
+    """
     def check(count: int, status: int) -> None:
         with Cluster() as cluster:
             daemon = start_cluster(cluster, daemons=1)[0]
@@ -88,6 +103,11 @@
 
 
 def test_payment_runs_at_most_once() -> None:
+    """Sends payments with one key under faults of the ledgers, the daemons and the table.
+
+    After a lost answer or a lost daemon it is unknown whether the payment ran. Repeating it then
+    could run it twice, so the daemons must refuse the key from then on.
+    """
     def lose_answer(cluster: Cluster, daemons: list[Process]) -> list:
         for name in ("ledger-0", "ledger-1"):
             cluster.inject_faults(cluster.processes[name], lose_answers=1)
@@ -175,6 +195,11 @@
 
 
 def test_request_that_crashes_engines_is_stopped_after_two() -> None:
+    """Sends a request that crashes its runner at all daemons, beside other requests.
+
+    Repeating it without a limit would crash one runner after the other. After at most two crashes
+    it must be refused with 422, and all other requests must succeed.
+    """
     with Cluster() as cluster:
         daemons = start_cluster(cluster, runners=5, runner_options=("--token-ms", "20"))
         assert chat(daemons[0]).status == 200
--- a/tests/process/test_front.py
+++ b/tests/process/test_front.py
@@ -27,6 +27,10 @@
 
 
 def test_payment_beside_idle_connections() -> None:
+    """Sends a payment while 4,000 connections are open without a request.
+
+    Idle connections must not occupy threads or much memory, or one client could block all others.
+    """
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     assert hard == resource.RLIM_INFINITY or hard >= DESCRIPTORS, (
         f"the hard limit of {hard} descriptors is below {DESCRIPTORS}")
@@ -42,6 +46,11 @@
 
 
 def test_unsound_framing_is_refused() -> None:
+    """Sends requests whose body length is ambiguous or invalid.
+
+    The daemon must answer once with 400. If it read on, the bytes of the body could be run as a
+    second request.
+    """
     cases = {
         "negative length": "Content-Length: -5\r\n",
         "two lengths": "Content-Length: 5\r\nContent-Length: 6\r\n",
--- a/tests/process/test_operator.py
+++ b/tests/process/test_operator.py
@@ -80,6 +80,10 @@
 
 
 def test_wrong_use_of_the_library_fails_where_it_is_written() -> None:
+    """Passes wrong values to the library: the call itself must raise an error.
+
+    Otherwise the mistake would show only when a daemon refuses the document.
+    """
     service, default = ModelService("m"), RequestClass("default")
     cases = [
         lambda: ModelService("a/b"),
@@ -115,6 +119,11 @@
 
 
 def test_versions_race_diff_history_and_going_back() -> None:
+    """Changes the configuration on the command line.
+
+    A change that is not based on the newest version must be refused and show the difference. An
+    older version can be restored, and --wait must report a daemon that has not got the change.
+    """
     with Cluster() as cluster:
         daemons = start_nominas_cluster(cluster, runners=1)
         file = cluster.path / "document.yaml"
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -55,6 +55,7 @@
 
 
 def test_burst_on_a_cold_model_makes_one_load() -> None:
+    """Sends 24 requests for a cold model at once to three daemons: they must share one load."""
     with Cluster() as cluster:
         daemons = start_nominas_cluster(cluster)
         with ThreadPoolExecutor(24) as pool:
@@ -65,6 +66,10 @@
 
 
 def test_payment_with_one_key_runs_once() -> None:
+    """Repeats a payment at three daemons: it must run once and get the same answer each time.
+
+    A different payment with the same key must be refused.
+    """
     with Cluster() as cluster:
         daemons = start_nominas_cluster(cluster)
         answers = [pay(daemons[n % 3], "friday") for n in range(6)]
