--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -41,6 +41,7 @@
 
 
 def test_edge_loads_a_cold_model_once_for_many_callers() -> None:
+    """Sends 20 requests for a cold model to both daemons: one load must serve them all."""
     with EdgeCluster() as cluster:
         with ThreadPoolExecutor(20) as pool:
             results = list(pool.map(
@@ -57,6 +58,10 @@
 
 
 def test_edge_never_repeats_what_must_run_once() -> None:
+    """Loses the answers to payments and drafts after their runs.
+
+    The daemon cannot know whether the request ran. It must answer with an error and not repeat it.
+    """
     with EdgeCluster() as cluster:
         for name in ("p0", "p1", "r0", "r1"):
             cluster.platform.endpoints[name].faults.lost_answers = 1
@@ -78,6 +83,11 @@
 
 
 def test_edge_resumes_a_stream_behind_the_last_event() -> None:
+    """Cuts streams after three events and a part of another.
+
+    A chat is resumable: the daemon must drop the partial event and continue after the third on
+    another attempt. A draft is not: its connection must break off, and it must not run again.
+    """
     with EdgeCluster(models=2) as cluster:
         for runner in ("r0", "r1"):
             cluster.platform.endpoints[runner].faults.cut_after_events = 3
@@ -90,6 +100,11 @@
 
 
 def test_edge_keeps_extra_answers_from_other_requests() -> None:
+    """Lets plain endpoints send a second answer after each answer.
+
+    On a reused connection it would be taken for the answer to the next request, which may be the
+    request of another client.
+    """
     with EdgeCluster() as cluster:
         for name in ("p0", "p1"):
             cluster.platform.endpoints[name].faults.extra_answer = True
@@ -99,6 +114,11 @@
 
 
 def test_edge_tells_the_truth_when_all_endpoints_refuse() -> None:
+    """Lets all endpoints refuse a payment without running it.
+
+    The client must soon get 503 with Retry-After, which states that the payment did not run, and
+    must not be kept until the time limit of the route, 2 s.
+    """
     with EdgeCluster() as cluster:
         for name in ("p0", "p1"):
             cluster.platform.endpoints[name].faults.refuses_all = True
@@ -109,6 +129,11 @@
 
 
 def test_edge_stops_a_request_that_crashes_its_runners() -> None:
+    """Sends a request that crashes its runner, eight times to two daemons.
+
+    The daemons report crashes to each other and quarantine the request after three. Without this, a
+    client that repeats it could crash all runners.
+    """
     with EdgeCluster(runners=3, models=2) as cluster:
         for name in ("r0", "r1", "r2"):
             cluster.platform.endpoints[name].faults.crashing_body = b"KILL"
@@ -122,6 +147,10 @@
 
 
 def test_edge_does_not_blame_requests_for_broken_connections() -> None:
+    """Breaks connections of endpoints that keep running.
+
+    The daemon must not count a broken connection as a crash, or it would quarantine the request.
+    """
     with EdgeCluster() as cluster:
         for name in ("p0", "p1"):
             cluster.platform.endpoints[name].faults.lost_answers = 4
@@ -133,6 +162,11 @@
 
 
 def test_edge_goes_on_while_the_store_is_away() -> None:
+    """Takes the store down and back up.
+
+    Without it, loaded models and plain endpoints must be served from the last known state. With it
+    again, a cold model must be loaded.
+    """
     with EdgeCluster() as cluster:
         store = cluster.platform.store
         cluster.platform.run_on_loop(lambda: setattr(store, "is_down", True))
@@ -151,6 +185,10 @@
 
 
 def test_edge_follows_changes_after_the_history_is_gone() -> None:
+    """Clears the history of the store: its feed answers 410 to a daemon that is behind.
+
+    The daemon must then read the table anew. Otherwise it would miss all later changes.
+    """
     with EdgeCluster() as cluster:
         cluster.platform.run_on_loop(cluster.platform.store.clear_history)
         route = {"name": "new", "host": "new.example", "prefix": "/", "kind": "idempotent",
@@ -162,6 +200,11 @@
 
 
 def test_edge_finds_another_dispatcher() -> None:
+    """Pauses the daemon that runs the dispatcher until another one has taken over.
+
+    When resumed, the former holder must send no more orders with its old fencing token: the tokens
+    in the order of arrival must not decrease.
+    """
     with EdgeCluster(daemons=3) as cluster:
         holder = cluster.holder()
         others = [daemon for daemon in cluster.daemons if daemon is not holder]
@@ -197,6 +240,10 @@
 
 
 def test_edge_ends_in_order_when_requests_outlast_its_grace() -> None:
+    """Stops a daemon whose streams last longer than its grace period of 3 s.
+
+    It must exit with the code for open requests, and neither wait for the streams nor crash.
+    """
     with EdgeCluster(grace_s=3.0) as cluster:
         cluster.platform.work_s = 3.0  # Each event takes 3 s, so streams outlast the grace period.
         daemon = cluster.daemons[0]
@@ -209,6 +256,10 @@
 
 
 def test_edge_tells_waiting_clients_to_come_back_when_it_stops() -> None:
+    """Stops a daemon while a request waits for a busy runner to load its model.
+
+    The client must get 503 with Retry-After, so that it can repeat the request elsewhere.
+    """
     with EdgeCluster(runners=1) as cluster:
         cluster.platform.endpoints["r0"].busy_until = time.monotonic() + 60
         daemon = cluster.daemons[0]
@@ -251,6 +302,7 @@
 
 
 def test_edge_logs_lead_from_an_id_to_its_cause() -> None:
+    """Checks that the log events of a request id show why the request failed."""
     with EdgeCluster(daemons=2) as cluster:
         for name in ("p0", "p1"):
             cluster.platform.endpoints[name].faults.lost_answers = 1
