--- a/tests/edge/soak.py
+++ b/tests/edge/soak.py
@@ -154,10 +154,10 @@
     def inject(self, end: float) -> None:
         """Injects random faults one after the other until the time end; runs on two threads."""
         faults = self.faults()
-        started = end
+        injection_end = end
         while time.monotonic() < end:
             fault = self.random.choice(faults)
-            self.timeline.append(f"{started - time.monotonic():.1f} s before the end: "
+            self.timeline.append(f"{injection_end - time.monotonic():.1f} s before the end: "
                                  f"{fault.__name__}")
             fault()
             time.sleep(self.random.uniform(0.05, 0.5))
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -79,7 +79,7 @@
         assert pay(daemons[0], "friday", amount=2).headers["x-result-code"] == "1303"
 
 
-def test_refusals_at_the_door_reach_no_endpoint() -> None:
+def test_refusals_by_the_daemon_reach_no_endpoint() -> None:
     with Cluster() as cluster:
         daemon = start_nominas_cluster(cluster, daemons=1)[0]
         address = daemon.addresses["caller"]
