--- a/tests/edge/soak.py
+++ b/tests/edge/soak.py
@@ -3,7 +3,8 @@
     python3 tests/edge/soak.py --seed 1 --seconds 30
 
 Two threads inject one fault after the other, so that up to two faults overlap. At the end the
-answers and the orders that endpoints got are checked against the guarantees of the daemon. Both
+answers, the orders that endpoints got and the number of models that each runner held are checked
+against the guarantees of the daemon, and each daemon must answer every kind of request. Both
 threads draw from one generator that starts from the seed, so which of them injects a fault depends
 on the timing, and two runs with one seed may differ.
 """
@@ -26,7 +27,7 @@
 from edge_cluster import Daemon, EdgeCluster, Result  # noqa: E402
 
 KINDS = ("chat", "draft", "pay", "check")
-RECOVERY_S = 12.0
+RECOVERY_S = 12.0  # Time after the last fault until each daemon must answer every kind of request.
 # Minimum time between orders of two holders, as lease_spacing in edge_cluster.
 MIN_HOLDER_SPACING_S = 1.0
 
