--- a/demo/local_cluster.py
+++ b/demo/local_cluster.py
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class HttplibAnswer:
+class HttpAnswer:
     """An HTTP response with lower-case header names and the time until its last byte."""
 
     status: int
@@ -66,7 +66,7 @@
     body: Optional[Any] = None,
     headers: Optional[dict[str, str]] = None,
     timeout_s: float = 60.0,
-) -> HttplibAnswer:
+) -> HttpAnswer:
     """Sends one HTTP request on a new connection; a body that is not bytes is sent as JSON.
 
     timeout_s limits each socket operation. Raises OSError or HTTPException if no complete response
@@ -81,7 +81,7 @@
         )
         response = connection.getresponse()
         content = response.read()
-        return HttplibAnswer(
+        return HttpAnswer(
             response.status,
             {name.lower(): value for name, value in response.getheaders()},
             content,
@@ -237,7 +237,7 @@
         )
         return process
 
-    def apply_configuration(self, daemon: Process, document: str, based_on: int) -> HttplibAnswer:
+    def apply_configuration(self, daemon: Process, document: str, based_on: int) -> HttpAnswer:
         """Submits a configuration document; based_on is the version that it replaces."""
         return send_request(
             daemon.addresses["admin"],
--- a/demo/run_demo.py
+++ b/demo/run_demo.py
@@ -13,17 +13,17 @@
 sys.path[:0] = [str(Path(__file__).parent.parent / "python"), str(Path(__file__).parent)]
 
 from examples import lanna_wings, nominas  # noqa: E402
-from local_cluster import Cluster, HttplibAnswer, send_request  # noqa: E402
+from local_cluster import Cluster, HttpAnswer, send_request  # noqa: E402
 
 ZONES = "abc"
 
 
-def print_answer(name: str, answer: HttplibAnswer, note: str = "") -> None:
+def print_answer(name: str, answer: HttpAnswer, note: str = "") -> None:
     code = answer.headers.get("x-result-code", "")
     print(f"  {name:<34} {answer.status:>4} {code:>5} {1000 * answer.duration_s:>9.1f} ms  {note}")
 
 
-def chat(daemon, key: str, model: str, stream: bool = False) -> HttplibAnswer:
+def chat(daemon, key: str, model: str, stream: bool = False) -> HttpAnswer:
     body = {
         "model": model,
         "messages": [{"role": "user", "content": "hello"}],
--- a/tests/edge/standin.py
+++ b/tests/edge/standin.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class HttplibCall:
+class HttpCall:
     """A received HTTP request with its connection. Header names are in lower case."""
 
     method: str
@@ -43,7 +43,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def write_response(call: HttplibCall, status: int, body: bytes = b"", **fields: str) -> None:
+def write_response(call: HttpCall, status: int, body: bytes = b"", **fields: str) -> None:
     names = {name.replace("_", "-"): value for name, value in fields.items()}
     call.writer.write(response_head(status, {**names, "Content-Length": str(len(body))}) + body)
 
@@ -54,7 +54,7 @@
     A restart keeps the port.
     """
 
-    def __init__(self, handler: Callable[[HttplibCall], Awaitable[None]]) -> None:
+    def __init__(self, handler: Callable[[HttpCall], Awaitable[None]]) -> None:
         self.handler = handler
         self.server: Optional[asyncio.base_events.Server] = None
         self.writers: set[asyncio.StreamWriter] = set()
@@ -84,7 +84,7 @@
                         name, value = line.split(":", 1)
                         fields[name.strip().lower()] = value.strip()
                 body = await reader.readexactly(int(fields.get("content-length", "0")))
-                await self.handler(HttplibCall(method, target, fields, body, reader, writer))
+                await self.handler(HttpCall(method, target, fields, body, reader, writer))
                 await writer.drain()
         except (asyncio.IncompleteReadError, asyncio.CancelledError, OSError, ValueError):
             pass
@@ -129,7 +129,7 @@
         self.last_cleared_version = self.version
         self.changes.clear()
 
-    async def _handle(self, call: HttplibCall) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         await asyncio.sleep(0.002 + self.delay_s)
         if self.is_down:
             write_response(call, 503)
@@ -143,7 +143,7 @@
         else:
             await self._handle_feed(call)
 
-    async def _handle_transaction(self, call: HttplibCall) -> None:
+    async def _handle_transaction(self, call: HttpCall) -> None:
         body = json.loads(call.body)
         # Daemons must not write the operator's configuration or the rows of endpoints.
         if any(entry["table"] in ("op", "servers") for entry in body["setKeys"]):
@@ -166,7 +166,7 @@
             return
         self._send(call, [])
 
-    async def _handle_feed(self, call: HttplibCall) -> None:
+    async def _handle_feed(self, call: HttpCall) -> None:
         table, after = call.query("table"), int(call.query("after"))
         deadline = time.monotonic() + int(call.query("waitMs")) / 1000
         while True:
@@ -193,7 +193,7 @@
         row = {"table": table, "part": "", "key": key, "ver": version}
         return {**row, "removed": True} if value is None else {**row, "value": value}
 
-    def _send(self, call: HttplibCall, rows: list[dict[str, Any]], status: int = 200) -> None:
+    def _send(self, call: HttpCall, rows: list[dict[str, Any]], status: int = 200) -> None:
         body = {"rows": rows, "truncated": False, "ver": self.version, "nowMs": 1}
         write_response(call, status, json.dumps(body).encode(), Content_Type="application/json")
 
@@ -274,7 +274,7 @@
         self.is_down = False
         self.announce()
 
-    async def _handle(self, call: HttplibCall) -> None:
+    async def _handle(self, call: HttpCall) -> None:
         if call.fields.get("x-target-instance", self.id) != self.id:
             write_response(call, 421)
         elif call.path.endswith("/report"):
@@ -286,7 +286,7 @@
         else:
             await self._handle_request(call)
 
-    async def _handle_order(self, call: HttplibCall) -> None:
+    async def _handle_order(self, call: HttpCall) -> None:
         order = json.loads(call.body)
         self.order_log.append({**order, "at": time.monotonic(), "runner": self.id})
         if self.busy_until > time.monotonic() or order.get("expectedRev", 0) != self.order_count:
@@ -310,7 +310,7 @@
         self.max_loaded_models = max(self.max_loaded_models, len(self.models))
         self.announce()
 
-    async def _handle_request(self, call: HttplibCall) -> None:
+    async def _handle_request(self, call: HttpCall) -> None:
         request = call.fields.get("x-request-id", "")
         model, _, adapter = call.fields.get("x-model", "").partition("/")
         is_missing = model and (model not in self.models
@@ -346,7 +346,7 @@
                 call.writer.write(response_head(200, {**signed_headers, "X-Request-Id": "nobody",
                                                       "Content-Length": "5"}) + b"extra")
 
-    async def _stream(self, call: HttplibCall, run: Run, signed_headers: dict[str, str]) -> None:
+    async def _stream(self, call: HttpCall, run: Run, signed_headers: dict[str, str]) -> None:
         first = int(call.fields.get("last-event-id", "0") or "0") + 1
         call.writer.write(response_head(200, {**signed_headers, "Content-Type": "text/event-stream",
                                               "Transfer-Encoding": "chunked"}))
--- a/tests/process/fixture.py
+++ b/tests/process/fixture.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, Callable, Optional
 
-from local_cluster import Cluster, HttplibAnswer, Process, send_request, wait_until
+from local_cluster import Cluster, HttpAnswer, Process, send_request, wait_until
 from rhubarbtrail_config import (
     Configuration,
     Customer,
@@ -87,23 +87,23 @@
 
 
 def chat(daemon: Process, model: str = "m0", prompt: str = "hello", tokens: int = 8,
-         stream: bool = False, **headers: str) -> HttplibAnswer:
+         stream: bool = False, **headers: str) -> HttpAnswer:
     body = {"model": model, "messages": [{"role": "user", "content": prompt}],
             "max_tokens": tokens, "stream": stream}
     return send_request(daemon.addresses["caller"], "POST", CHAT, body,
                         {**FAMILIES_HEADERS, **headers})
 
 
-def pay(daemon: Process, key: str) -> HttplibAnswer:
+def pay(daemon: Process, key: str) -> HttpAnswer:
     return send_request(daemon.addresses["caller"], "POST", "/services/ledger/payments",
                         {"amount": 1}, {**FAMILIES_HEADERS, "Idempotency-Key": key})
 
 
-def result_code(answer: HttplibAnswer) -> int:
+def result_code(answer: HttpAnswer) -> int:
     return int(answer.headers.get("x-result-code", "0"))
 
 
-def without_ids(answer: HttplibAnswer) -> bytes:
+def without_ids(answer: HttpAnswer) -> bytes:
     """Returns a streamed body with empty ids, since the ids differ from request to request."""
     return re.sub(rb'"id":"[^"]*"', b'"id":""', answer.body)
 
--- a/tests/process/test_faults_daemon.py
+++ b/tests/process/test_faults_daemon.py
@@ -13,14 +13,14 @@
     CHAT, SHORT_LIMITS, chat, check_all_cases, check_placement, configuration_document,
     journal_entries, pay, result_code, run_in_background, start_cluster, wait_for_lease_holder,
 )
-from local_cluster import Cluster, HttplibAnswer, Process, send_request, wait_until
+from local_cluster import Cluster, HttpAnswer, Process, send_request, wait_until
 
 
 def configuration_versions(cluster: Cluster, daemons: list[Process]) -> set[str]:
     return {cluster.dump(daemon)["view.configuration"] for daemon in daemons}
 
 
-def chat_as_nannies(daemon: Process) -> HttplibAnswer:
+def chat_as_nannies(daemon: Process) -> HttpAnswer:
     body = {"model": "m0", "messages": [], "max_tokens": 2}
     return send_request(daemon.addresses["caller"], "POST", CHAT, body,
                         {"Authorization": "Bearer nannies-key"})
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from examples import nominas
-from local_cluster import Cluster, HttplibAnswer, Process, send_request
+from local_cluster import Cluster, HttpAnswer, Process, send_request
 
 
 def start_nominas_cluster(
@@ -27,7 +27,7 @@
 
 
 def chat(daemon: Process, model: str = "payslip-0", key: str = "families-key", tokens: int = 8,
-         stream: bool = False, prompt: str = "hello", **headers: str) -> HttplibAnswer:
+         stream: bool = False, prompt: str = "hello", **headers: str) -> HttpAnswer:
     body = {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -38,7 +38,7 @@
                         {"Authorization": f"Bearer {key}", **headers})
 
 
-def pay(daemon: Process, key: str, amount: int = 1) -> HttplibAnswer:
+def pay(daemon: Process, key: str, amount: int = 1) -> HttpAnswer:
     return send_request(daemon.addresses["caller"], "POST", "/services/ledger/payments",
                         {"amount": amount},
                         {"Authorization": "Bearer families-key", "Idempotency-Key": key})
