--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -145,8 +145,9 @@
   CHECK(world.CodeOf(blocked) == 1000);
 }
 
-// The daemon that gets the release tells the others by a ConvictedMessage without validity, which
-// must remove the fingerprint. A daemon that took it for a conviction would refuse its requests.
+// Daemon 1 gets the release and tells the others by a ConvictedMessage without validity, which must
+// remove the fingerprint from quarantine. If daemon 0 took this message for a quarantine of the
+// fingerprint, it would refuse its waiting requests with that fingerprint.
 TEST_CASE("a release from quarantine by an operator does not refuse waiting requests")
 {
   World world({ .daemons = 2 });
